--- a/src/gatekeeper.cpp
+++ b/src/gatekeeper.cpp
@@ -1063,9 +1063,9 @@
     Time servedAt_{};                   // the latest answer that was served
     bool anyWarm_ = false;
     double slowWarm_ = 0, slowCold_ = 0;  // shares of slow answers of warm workers and of cold ones
-    double median_ = 0.2;               // of the times of answers, as parts of their aims
-    int out_ = 0;                       // own attempts outstanding
-    double limit_ = 0;                  // how many may be
+    double median_ = 0.2;                 // of the times of answers, as parts of their aims
+    int out_ = 0;                         // own attempts outstanding
+    double limit_ = 0;                    // how many may be
     double retries_ = kRetryStore;
     bool asked_ = false;
 };
--- a/src/net/channel.cpp
+++ b/src/net/channel.cpp
@@ -26,8 +26,7 @@
     }
 }
 
-void Channel::dial(const tcp::endpoint& peer, TimerQueue& timers, Duration limit,
-                   const MakeRoom& makeRoom) {
+void Channel::dial(const tcp::endpoint& peer, TimerQueue& timers, Duration limit, const MakeRoom& makeRoom) {
     error_code ec;
     socket_.open(peer.protocol(), ec);
     if (ec && makeRoom && makeRoom()) socket_.open(peer.protocol(), ec);
--- a/src/net/host.cpp
+++ b/src/net/host.cpp
@@ -63,12 +63,13 @@
                      return arrived(std::move(r), c);
                  },
                  [this](const std::string& id) { gone(id); }}),
-      discovery_(io, timers_, clock_, config.discovery, config.names, config.known.index,
-                 discoverySchedule(config), [this] { return makeRoom(); },
-                 [this](const TargetList& list) {
-                     listCurrent_ = true;
-                     listed(list, list.full ? ListScope::full : ListScope::changes);
-                 }) {
+      discovery_(
+          io, timers_, clock_, config.discovery, config.names, config.known.index, discoverySchedule(config),
+          [this] { return makeRoom(); },
+          [this](const TargetList& list) {
+              listCurrent_ = true;
+              listed(list, list.full ? ListScope::full : ListScope::changes);
+          }) {
     if (config.counter) {
         CounterClient::Limits limits;
         limits.answer = config.settings.countTimeout;
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -53,8 +53,8 @@
 }
 
 enum class End { refused, notUp, unanswered, turnedAway, broken, cutAmidList, silent };
-constexpr End kEnds[] = {End::refused,    End::notUp,  End::unanswered, End::turnedAway,
-                         End::broken,     End::cutAmidList, End::silent};
+constexpr End kEnds[] = {End::refused, End::notUp,       End::unanswered, End::turnedAway,
+                         End::broken,  End::cutAmidList, End::silent};
 
 // When a call is begun that finds discovery well, which could be reached again from `back` on; the call
 // before is begun, or had its last word, at `from`, and every one before `back` ends in the same way.
@@ -126,8 +126,7 @@
         }
     }
     std::cout << "worst: known " << inSeconds(worst)
-              << " s after discovery could be reached, of which the call "
-              << inSeconds(kMostCall) << " s\n";
+              << " s after discovery could be reached, of which the call " << inSeconds(kMostCall) << " s\n";
     EXPECT_GT(worst, kListTerm - milliseconds(100));  // or it calls more often than it has to
 }
 
@@ -356,7 +355,10 @@
 class Failing {
 public:
     explicit Failing(const std::string& end)
-        : how(end), server(end == "refused" ? Server::kRefusing : end == "notUp" ? 0 : 64) {
+        : how(end),
+          server(end == "refused" ? Server::kRefusing
+                 : end == "notUp" ? 0
+                                  : 64) {
         if (end == "notUp") plug_ = connectTo(server.port);  // its queue takes one: no other comes up
     }
 
--- a/tests/gatekeeper_test.cpp
+++ b/tests/gatekeeper_test.cpp
@@ -383,8 +383,8 @@
     EXPECT_LE(sent, 20);  // its part by weight and warmth is about 9 of the 200
 }
 
-// How many of 2,000 gatekeepers, that hear of each worker very seldom, send the twelfth request to a cold one,
-// 36 of the 60, where warm ones answered the three before in `took` and all earlier ones quickly.
+// How many of 2,000 gatekeepers, that hear of each worker very seldom, send the twelfth request to a cold
+// one, 36 of the 60, where warm ones answered the three before in `took` and all earlier ones quickly.
 int sentToCold(Duration took) {
     int sent = 0;
     constexpr int kKeepers = 2000, kCold = 36, kRequests = 12;
@@ -605,8 +605,8 @@
     EXPECT_GT(sharedLetIn(1), 0.2);
 }
 
-// Without a meter nothing tells of a customer that comes here seldom: what is let in of such without an answer
-// comes on top of quotas as often as the counter's answers leave others of their plan no room.
+// Without a meter nothing tells of a customer that comes here seldom: what is let in of such without an
+// answer comes on top of quotas as often as the counter's answers leave others of their plan no room.
 TEST(Counter, WithoutAMeterUnaskedOnesAreLetInAsOthersOfTheirPlanHaveRoom) {
     const auto letIn = [](bool othersHaveRoom, double overCost) {
         Settings s = plainSettings();
