--- /dev/null
+++ b/include/gateway/events.h
@@ -0,0 +1,120 @@
+// What a decision engine is told.
+#pragma once
+
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <variant>
+#include <vector>
+
+#include "gateway/types.h"
+
+namespace gateway {
+
+enum class Availability { up, draining, removed };
+
+// One endpoint as discovery lists it.
+struct EndpointEntry {
+    EndpointId endpoint;
+    Availability availability = Availability::up;
+    Time startedAt{};   // of its latest start; 0: long ago
+    int cell = 0;       // for DeduplicationScope::cell
+    int kind = 0;       // of machine
+    int zone = 0;       // where it runs
+    double weight = 1;  // its share of the traffic, relative to the others'
+};
+
+enum class UpdateKind {
+    delta,     // the entries are those that changed
+    snapshot,  // an endpoint that is not among the entries was removed
+    cached,    // a snapshot that may be old
+    failed,    // discovery could not be asked; there are no entries
+};
+
+// Discovery told of the endpoint set.
+struct EndpointUpdate {
+    UpdateKind kind = UpdateKind::delta;
+    std::vector<EndpointEntry> entries;
+};
+
+// A client sent a request.
+struct RequestArrived {
+    RequestId request;
+    int requestClass = 0;  // index into Settings::classes
+    int plan = 0;          // index into Settings::plans
+    TenantId tenant = 0;
+    Time deadline{};      // when the client abandons this try
+    double cost = 1;      // what it charges to the quota; an estimate with Settings::reconciliationEnabled
+    int entryPoints = 1;  // gateways through which this tenant's requests may come; 1 or more
+    bool isRetry = false;
+};
+
+// How an attempt, or a call to the counter, ended.
+enum class Outcome { ok, error, rejected, timedOut, connectFailed, reset, cancelled, notSent };
+
+// What an endpoint reported of itself; absent values were not reported.
+struct LoadReport {
+    std::optional<double> inFlight;
+    std::optional<double> queued;
+    std::optional<double> busyShare;
+    std::optional<double> latencyMs;
+    std::optional<double> requestsPerSecond;
+    std::optional<double> errorsPerSecond;
+};
+
+// An attempt is over. Every SendAttempt causes exactly one.
+struct AttemptEnded {
+    RequestId request;
+    int attempt = 0;  // number of the attempt in its request, from 0
+    EndpointId endpoint;
+    Outcome outcome = Outcome::ok;
+    Duration elapsed{};
+    bool closed = false;                   // the request has its final answer, or its client left
+    std::optional<double> trueCost;        // with Settings::reconciliationEnabled
+    std::optional<double> meteredPercent;  // how much of its quota the tenant uses, over all gateways
+    std::optional<LoadReport> report;
+};
+
+// The response of an attempt has begun; it can't be cancelled any more.
+struct StreamStarted {
+    RequestId request;
+    int attempt = 0;
+    EndpointId endpoint;
+    Duration elapsed{};
+};
+
+// The client left before it had a final answer.
+struct ClientDisconnected {
+    RequestId request;
+};
+
+struct HealthCheckCompleted {
+    EndpointId endpoint;
+    Outcome outcome = Outcome::ok;
+    Duration elapsed{};
+    std::optional<LoadReport> report;
+};
+
+// The counter replied to an AddToCounter, or did not. Replies for one name come in the order of the calls.
+struct CounterReplied {
+    std::string name;
+    Outcome outcome = Outcome::ok;
+    double total = 0;  // over all gateways; with Outcome::ok only
+    Duration elapsed{};
+};
+
+// Another gateway sent a message.
+struct GossipMessage {
+    int from = 0;
+    std::string bytes;
+};
+
+// A timer of SetTimer has run down.
+struct TimerFired {
+    std::uint64_t timer = 0;
+};
+
+using Event = std::variant<EndpointUpdate, RequestArrived, AttemptEnded, StreamStarted, ClientDisconnected,
+                           HealthCheckCompleted, CounterReplied, GossipMessage, TimerFired>;
+
+}  // namespace gateway
--- a/src/arithmetic.h
+++ b/src/decision/arithmetic.h
@@ -5,9 +5,9 @@
 #include <cstdint>
 #include <string_view>
 
-#include "slipshift/gatekeeper.h"
+#include "gateway/events.h"
 
-namespace slipshift {
+namespace gateway {
 
 inline double seconds(Duration d) {
     return static_cast<double>(d.count()) / 1e6;
@@ -21,7 +21,7 @@
     return mean + (sample - mean) * weight;
 }
 
-// A number from 0 up to 1 for gatekeeper `self`, so that those of any gatekeepers in a row are spread evenly
+// A number from 0 up to 1 for gateway `self`, so that those of any gateways in a row are spread evenly
 // over that range: multiples of the golden ratio are. Another name or start shifts all of them.
 inline double dealtPart(std::string_view name, Time start, int self) {
     constexpr std::uint64_t kGolden = 0x9e3779b97f4a7c15;
@@ -31,4 +31,4 @@
     return static_cast<double>(hash >> 11) * 0x1.0p-53;
 }
 
-}  // namespace slipshift
+}  // namespace gateway
--- a/src/slice_name.h
+++ b/src/decision/slice_name.h
@@ -1,23 +1,23 @@
-// The counter's name of a customer's slice, and back.
+// The counter's name of a tenant's slice, and back.
 #pragma once
 
 #include <charconv>
 #include <string>
 #include <utility>
 
-#include "slipshift/gatekeeper.h"
+#include "gateway/events.h"
 
-namespace slipshift {
+namespace gateway {
 
-inline std::string sliceName(CustomerId id, std::int64_t index) {
+inline std::string sliceName(TenantId id, std::int64_t index) {
     std::string name = "q";
     name.append(std::to_string(id)).append(".").append(std::to_string(index));
     return name;
 }
 
 // Noughts for what is no such name.
-inline std::pair<CustomerId, std::int64_t> parseSliceName(const std::string& name) {
-    CustomerId id = 0;
+inline std::pair<TenantId, std::int64_t> parseSliceName(const std::string& name) {
+    TenantId id = 0;
     std::int64_t index = 0;
     const char* end = name.data() + name.size();
     if (name.empty()) return {id, index};
@@ -26,4 +26,4 @@
     return {id, index};
 }
 
-}  // namespace slipshift
+}  // namespace gateway
--- a/src/state.h
+++ b/src/decision/state.h
@@ -1,4 +1,4 @@
-// What the decision module keeps of workers, customers' slices on the counter, and requests. Nothing is
+// What the decision module keeps of endpoints, tenants' slices on the counter, and requests. Nothing is
 // decided here.
 #pragma once
 
@@ -6,25 +6,25 @@
 #include <deque>
 #include <vector>
 
-#include "slipshift/gatekeeper.h"
+#include "gateway/events.h"
 
-namespace slipshift {
+namespace gateway {
 
 // What an attempt's end says for certain, by the protocol.
 inline bool provesNeverRan(Outcome o) {
     return o == Outcome::rejected || o == Outcome::connectFailed || o == Outcome::notSent;
 }
 
-struct Worker {
-    WorkerEntry entry;
+struct Endpoint {
+    EndpointEntry entry;
     bool usable = false;  // listed and not draining
     int out = 0;          // own attempts outstanding
-    double others = 0;    // attempts of the other gatekeepers, by the reports
+    double others = 0;    // attempts of the other gateways, by the reports
     double slowness = 1;  // its latency in class means
     Time heardAt{};       // its latest outcome
     double errors = 0;    // running share of attempts that failed fast
     Time asideUntil{};
-    double part = 1;   // of the warm or cold workers that the subset holds; 0: not this one
+    double part = 1;   // of the warm or cold endpoints that the subset holds; 0: not this one
     double limit = 0;  // own attempts out at most
     Time limitCutAt{};
     bool onTrial = false;  // back from aside, one attempt at a time until it serves one
@@ -37,7 +37,7 @@
 
 struct Call {                            // one add in flight
     std::uint64_t request = 0;           // the request whose units it carries; 0: none
-    double units = 0;                    // what it charges for them
+    double cost = 0;                     // what it charges for them
     double amount = 0;                   // what it adds in all
     Fate fate = Fate::open;              // what was decided on them before the answer
     double admitted = 0;                 // units let in earlier and not counted then
@@ -51,7 +51,7 @@
 
 struct Slice {
     std::int64_t index = 0;
-    double total = 0;                     // last known sum over all gatekeepers, without own refused units
+    double total = 0;                     // last known sum over all gateways, without own refused units
     double since = 0;                     // own units let in since then
     double others = 0;                    // what the others let in since then, by the observed share
     Time heardAt{};                       // its last answer
@@ -59,7 +59,7 @@
     double unused = 0;                    // room past the burst that was seen: it is lost
     bool known = false;                   // the counter answered for it
     bool carried = false;                 // the closed slice's debt was added to it
-    bool asked = false;                   // this gatekeeper added to it
+    bool poll_ = false;                   // this gateway added to it
     double oweAdmitted = 0, oweBack = 0;  // to be folded into the next add
     double oweBlind = 0;                  // of that, what was let in without an answer
     double refused = 0, taken = 0, posted = 0;
@@ -67,25 +67,25 @@
     std::deque<Call> calls;
 };
 
-struct Customer {
+struct Tenant {
     int plan = 0;
     int entryPoints = 1;
     int out = 0;                // own attempts outstanding
     std::vector<Slice> slices;  // the closed one and the current one
     Time refusedAt{};           // when the counter's sum last refused it
     double ownSeen = 0, totalSeen = 0;
-    double guard = 0;      // what is left of this gatekeeper's part of the guard's store
+    double guard = 0;      // what is left of this gateway's part of the guard's store
     double guardPart = 1;  // that part
     Time guardAt{};
     double demand = 0;  // units a second asked for here
     Time demandAt{};
     Time heardAt{};  // its latest sum
     Time usedAt{};
-    double use = 1;  // of its quota over all gatekeepers, by the meter and the counter's refusals
+    double use = 1;  // of its quota over all gateways, by the meter and the counter's refusals
 };
 
 struct Attempt {
-    int worker = -1;
+    int endpoint = -1;
     Time sentAt{};
     bool ended = false;
 };
@@ -105,9 +105,9 @@
     bool streaming = false;
     std::vector<Attempt> attempts;
     bool mayHaveRun = false;
-    bool reached = false;    // an attempt got as far as a worker, or the plan's ceiling counts it as if
-    int zone = 0, cell = 0;  // of the first attempt's worker that may have run; its slot may be another's
+    bool reached = false;    // an attempt got as far as an endpoint, or the plan's ceiling counts it as if
+    int zone = 0, cell = 0;  // of the first attempt's endpoint that may have run; its slot may be another's
     Time groupSince{};
 };
 
-}  // namespace slipshift
+}  // namespace gateway
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,14 +1,15 @@
-// The real gatekeeper. Bad configuration ends it with one line on standard error.
+// The real gateway. Bad configuration ends it with one line on standard error.
 #include <exception>
 #include <iostream>
 
-#include "net/service.h"
+#include "net/server/service.h"
 
 int main() {
     try {
-        weldstall::serve(weldstall::configFromEnvironment(), [](const weldstall::Config::Endpoint&) {});
+        gateway::net::serve(gateway::net::configFromEnvironment(),
+                            [](const gateway::net::Config::Address&) {});
     } catch (const std::exception& e) {
-        std::cerr << "weldstall: " << e.what() << '\n';
+        std::cerr << "gateway: " << e.what() << '\n';
         return 1;
     }
     return 0;
--- a/src/net/client_listener.cpp
+++ b/src/net/client/client_server.cpp
@@ -1,4 +1,4 @@
-#include "net/client_listener.h"
+#include "net/client/client_server.h"
 
 #include <algorithm>
 #include <boost/beast/http/parser.hpp>
@@ -7,27 +7,26 @@
 #include <cmath>
 #include <optional>
 
-namespace weldstall {
+namespace gateway::net {
 
 namespace http = boost::beast::http;
 using boost::beast::string_view;
-using slipshift::Effect;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 using std::chrono::steady_clock;
 
 namespace {
 
-constexpr std::size_t kMostBody = 64 * 1024;
-constexpr std::uint32_t kMostHeader = 16 * 1024;
-constexpr std::size_t kMostAhead = 96 * 1024;         // kept while an answer is awaited
-constexpr Duration kArrivalGrain = milliseconds(10);  // bytes that come so close together came together
-constexpr Duration kLinger = seconds(1);              // for a client to take in a last answer
+constexpr std::size_t kMaxBodyBytes = 64 * 1024;
+constexpr std::uint32_t kMaxHeaderBytes = 16 * 1024;
+constexpr std::size_t kMaxPipelinedBytes = 96 * 1024;      // kept while an answer is awaited
+constexpr Duration kArrivalResolution = milliseconds(10);  // bytes that come so close together came together
+constexpr Duration kLinger = seconds(1);                   // for a client to take in a last answer
 constexpr Duration kAcceptPause = milliseconds(50);
-constexpr Duration kFreshGrace = milliseconds(150);  // for the first request on a new connection then
+constexpr Duration kFirstRequestGrace = milliseconds(150);  // for the first request on a new connection then
 constexpr Duration kSweep = milliseconds(250);
 constexpr Duration kDrainSweep = milliseconds(50);
-constexpr std::uint64_t kCustomers = 1ull << 33;
+constexpr std::uint64_t kMaxTenants = 1ull << 33;
 
 std::string_view plain(string_view text) {
     return {text.data(), text.size()};
@@ -86,8 +85,8 @@
 }
 
 // "units=2,spread=3,first=1"; false where one is missing or out of range.
-bool readMetering(string_view text, int gatekeepers, double mostUnits, slipshift::RequestArrived& told) {
-    std::optional<double> units;
+bool readMetering(string_view text, int gatewayCount, double maxRequestCost, RequestArrived& told) {
+    std::optional<double> cost;
     std::optional<int> spread, first;
     while (!text.empty()) {
         const auto comma = std::min(text.find(','), text.size());
@@ -102,7 +101,7 @@
             double number = 0;
             const auto parsed = std::from_chars(value.data(), value.data() + value.size(), number);
             if (parsed.ec != std::errc() || parsed.ptr != value.data() + value.size()) return false;
-            units = number;
+            cost = number;
         } else if (name == "spread") {
             spread = readWhole<int>(value);
             if (!spread) return false;
@@ -111,24 +110,24 @@
             if (!first) return false;
         }
     }
-    if (!units || !spread || !first) return false;
-    if (!std::isfinite(*units) || *units <= 0 || *units > mostUnits) return false;
-    if (*spread < 1 || *spread > gatekeepers || *first < 0 || *first >= gatekeepers) return false;
-    told.units = *units;
+    if (!cost || !spread || !first) return false;
+    if (!std::isfinite(*cost) || *cost <= 0 || *cost > maxRequestCost) return false;
+    if (*spread < 1 || *spread > gatewayCount || *first < 0 || *first >= gatewayCount) return false;
+    told.cost = *cost;
     told.entryPoints = *spread;
     return true;
 }
 
 }  // namespace
 
-class ClientConnection final : public Channel {
+class ClientSession final : public TcpConnection {
 public:
-    ClientConnection(tcp::socket&& socket, ClientListener& listener)
-        : Channel(std::move(socket)), listener_(listener), acceptedAt_(listener.clock_.now()) {
+    ClientSession(tcp::socket&& socket, ClientServer& listener)
+        : TcpConnection(std::move(socket)), listener_(listener), acceptedAt_(listener.clock_.now()) {
         renew();
     }
 
-    std::list<std::shared_ptr<ClientConnection>>::iterator place;
+    std::list<std::shared_ptr<ClientSession>>::iterator place;
     steady_clock::time_point heardAt = steady_clock::now();
 
     bool isIdle() const { return !busy_ && !lingering_ && !partial_ && allWritten(); }
@@ -144,7 +143,7 @@
     // It has never sent a byte, or part of a request and no more: such clients wait for nothing.
     bool isSilent() { return isFresh() && isIdle() && !hasInput(); }
 
-    void answer(const Answer& a) {
+    void answer(const ClientResponse& a) {
         busy_ = false;
         ++answers_;
         // What has come by now is answered first, also while it drains: it would be lost with the connection.
@@ -170,7 +169,7 @@
         if (!stays) return linger();
         if (input().size() > 0) {  // the next one came early; not from within an answer to this one
             listener_.timers_.after(Duration::zero(), [self = weak_from_this()] {
-                if (const auto c = self.lock()) static_cast<ClientConnection&>(*c).next();
+                if (const auto c = self.lock()) static_cast<ClientSession&>(*c).next();
             });
         }
     }
@@ -182,7 +181,7 @@
 
     void leave() {
         if (std::exchange(left_, true)) return;  // making room for another may have ended it meanwhile
-        if (busy_) listener_.hooks_.gone(id_);
+        if (busy_) listener_.hooks_.onDisconnect(id_);
         busy_ = false;
         close();
         listener_.left(*this);
@@ -191,8 +190,8 @@
 private:
     void renew() {
         parser_.emplace();
-        parser_->body_limit(kMostBody);
-        parser_->header_limit(kMostHeader);
+        parser_->body_limit(kMaxBodyBytes);
+        parser_->header_limit(kMaxHeaderBytes);
         parser_->eager(true);
         partial_ = continued_ = false;
     }
@@ -204,7 +203,7 @@
         discardInput();
         listener_.timers_.after(kLinger, [self = weak_from_this()] {
             const auto c = self.lock();
-            if (c && c->isOpen()) static_cast<ClientConnection&>(*c).leave();
+            if (c && c->isOpen()) static_cast<ClientSession&>(*c).leave();
         });
     }
 
@@ -218,14 +217,14 @@
         noteArrival();
         if (!busy_) return next();
         // Read on to notice that the client leaves. What it has sent ahead so far will be answered, no more.
-        if (input().size() > kMostAhead) dropFurtherInput();
+        if (input().size() > kMaxPipelinedBytes) dropFurtherInput();
     }
 
     // A client counts the time of a request from when it sent it, not from the answer before.
     void noteArrival() {
         const Time now = listener_.clock_.now();
         if (noted_ == consumed_) arrivals_.clear();
-        if (arrivals_.empty() || now - arrivals_.back().second > kArrivalGrain)
+        if (arrivals_.empty() || now - arrivals_.back().second > kArrivalResolution)
             arrivals_.emplace_back(noted_, now);
         noted_ = consumed_ + input().size();
     }
@@ -247,7 +246,7 @@
         const std::size_t used = parser_->put(input().data(), ec);
         consumed_ += used;
         input().consume(used);
-        if (announcesMore(*parser_, kMostBody)) return refuse(413);
+        if (announcesMore(*parser_, kMaxBodyBytes)) return refuse(413);
         if (parser_->is_header_done() && isAmbiguous(parser_->get())) return refuse(400);
         if (ec == http::error::need_more) {
             if (dropsInput()) return linger();  // its rest was dropped
@@ -280,7 +279,7 @@
         ClientRequest request;
         if (const int status = read(message, request); status != 200) return notSuch(status);
         id_ = request.told.request;
-        const auto self = std::static_pointer_cast<ClientConnection>(shared_from_this());
+        const auto self = std::static_pointer_cast<ClientSession>(shared_from_this());
         if (!listener_.hooks_.request(std::move(request), self)) notSuch(400);
     }
 
@@ -289,7 +288,7 @@
         answer({status, {}, "text/plain", reasonOf(status)});
     }
 
-    // Nothing goes to a worker that no client sent in this form: all that is odd is answered here.
+    // Nothing goes to an endpoint that no client sent in this form: all that is odd is answered here.
     int read(const http::request<http::string_body>& message, ClientRequest& request) const {
         const auto& rules = listener_.rules_;
         string_view path = message.target();
@@ -298,32 +297,33 @@
         const int pathClass = positionOf(path, rules.classNames);
         if (pathClass < 0) return 404;
         const auto& cls = rules.classes[static_cast<std::size_t>(pathClass)];
-        const bool keyed = cls.effect == Effect::keyed;
-        if (message.method() != (cls.effect == Effect::safe ? http::verb::get : http::verb::post)) return 405;
+        const bool keyed = cls.idempotency == Idempotency::withKey;
+        if (message.method() != (cls.idempotency == Idempotency::safe ? http::verb::get : http::verb::post))
+            return 405;
         auto& told = request.told;
         told.requestClass = positionOf(message["Request-Class"], rules.classNames);
         if (told.requestClass != pathClass) return 400;
         told.plan = positionOf(message["X-Contract"], rules.planNames);
         if (told.plan < 0) return 400;
-        const auto id = message["Request-Id"], customer = message["X-Client-Id"];
+        const auto id = message["Request-Id"], tenant = message["X-Client-Id"];
         if (id.empty() || id.size() > 128) return 400;
-        if (customer.size() != 16) return 400;
-        const auto number = readWhole<std::uint64_t>(customer, 16);
-        if (!number || *number >= kCustomers) return 400;
-        told.customer = *number;
+        if (tenant.size() != 16) return 400;
+        const auto number = readWhole<std::uint64_t>(tenant, 16);
+        if (!number || *number >= kMaxTenants) return 400;
+        told.tenant = *number;
         const auto patience = readWhole<std::uint32_t>(message["Request-Timeout-Ms"]);
         if (!patience || *patience == 0) return 400;
         // A client that would wait for hours holds its id and its place no longer than its class's usual
         // ones.
         told.deadline = startedAt_ + std::min<Duration>(milliseconds(*patience), 2 * cls.deadline);
-        if (!readMetering(message["X-Metering"], rules.gatekeepers, rules.mostUnits, told)) return 400;
+        if (!readMetering(message["X-Metering"], rules.gatewayCount, rules.maxRequestCost, told)) return 400;
         const auto key = message["Idempotency-Key"];
         if (keyed && key.empty()) return 400;
-        if (cls.effect == Effect::safe && !message.body().empty()) return 400;
+        if (cls.idempotency == Idempotency::safe && !message.body().empty()) return 400;
         told.request.assign(id.data(), id.size());
         told.isRetry = message["Client-Retry"] == "1";
         auto forwarded = std::make_shared<Forwarded>();
-        forwarded->method = cls.effect == Effect::safe ? "GET" : "POST";
+        forwarded->method = cls.idempotency == Idempotency::safe ? "GET" : "POST";
         forwarded->target.assign(message.target().data(), message.target().size());
         const auto host = message[http::field::host];
         forwarded->host.assign(host.data(), host.size());
@@ -334,7 +334,7 @@
         return 200;
     }
 
-    ClientListener& listener_;
+    ClientServer& listener_;
     Time acceptedAt_;
     std::optional<http::request_parser<http::string_body>> parser_;
     Time answeredAt_{};
@@ -349,17 +349,17 @@
          keepAlive_ = true;
 };
 
-ClientListener::ClientListener(boost::asio::io_context& io, TimerQueue& timers, const Clock& clock,
-                               Rules rules, Hooks hooks)
+ClientServer::ClientServer(boost::asio::io_context& io, TimerQueue& timers, const Clock& clock, Rules rules,
+                           Hooks hooks)
     : io_(io),
       timers_(timers),
       clock_(clock),
       rules_(std::move(rules)),
       hooks_(std::move(hooks)),
       acceptor_(io) {}
-ClientListener::~ClientListener() = default;
+ClientServer::~ClientServer() = default;
 
-void ClientListener::listen(const tcp::endpoint& address) {
+void ClientServer::listen(const tcp::endpoint& address) {
     acceptor_.open(address.protocol());
     acceptor_.set_option(tcp::acceptor::reuse_address(true));  // a restart comes back under its address
     acceptor_.bind(address);
@@ -370,17 +370,17 @@
     timers_.after(kSweep, [this] { sweep(); });
 }
 
-void ClientListener::accept() {
+void ClientServer::accept() {
     if (accepting_ || !listening_) return;
     // At the most connections the one idle the longest gives way; if all are busy the queue waits.
-    if (clients_.size() >= rules_.connections && !makeRoom()) return;
+    if (clients_.size() >= rules_.connections && !reclaimDescriptor()) return;
     accepting_ = true;
     acceptor_.async_accept([this](const error_code& ec, tcp::socket socket) {
         accepting_ = false;
         if (!listening_) return;
         if (ec) {
             // Out of descriptors or memory: pauses, since the queue would report itself without end.
-            makeRoom();
+            reclaimDescriptor();
             timers_.after(kAcceptPause, [this] { accept(); });
             return;
         }
@@ -389,16 +389,16 @@
     });
 }
 
-void ClientListener::take(tcp::socket&& socket) {
-    const auto client = std::make_shared<ClientConnection>(std::move(socket), *this);
+void ClientServer::take(tcp::socket&& socket) {
+    const auto client = std::make_shared<ClientSession>(std::move(socket), *this);
     client->place = clients_.insert(clients_.end(), client);
     client->start();
 }
 
-bool ClientListener::makeRoom() {
-    for (const Link& client : clients_) {
+bool ClientServer::reclaimDescriptor() {
+    for (const ConnectionPtr& client : clients_) {
         if (!client->isIdle() || client->hasInput()) continue;
-        const Link keep = client;
+        const ConnectionPtr keep = client;
         keep->leave();
         return true;
     }
@@ -406,26 +406,26 @@
 }
 
 // What stands in the queue would take the descriptor at once: it is looked at again from the loop.
-bool ClientListener::giveWay() {
+bool ClientServer::evictIdleClient() {
     const bool accepting = std::exchange(accepting_, true);
-    const bool made = makeRoom();
+    const bool made = reclaimDescriptor();
     accepting_ = accepting;
     if (!accepting) timers_.after(Duration::zero(), [this] { accept(); });
     return made;
 }
 
-void ClientListener::left(ClientConnection& client) {
+void ClientServer::left(ClientSession& client) {
     clients_.erase(client.place);
     if (listening_) accept();
     if (draining_ && !listening_ && clients_.empty() && drained_) std::exchange(drained_, nullptr)();
 }
 
-void ClientListener::answer(ClientConnection& client, const Answer& a) {
+void ClientServer::answer(ClientSession& client, const ClientResponse& a) {
     client.answer(a);
     accept();  // it may have waited for a connection that is not busy
 }
 
-bool ClientListener::hasLeft(ClientConnection& client) {
+bool ClientServer::hasDisconnected(ClientSession& client) {
     if (!client.endHasCome()) return false;
     client.leave();
     return true;
@@ -433,17 +433,17 @@
 
 // Ends connections whose request does not come, or does not come whole, however slowly it dribbles in, or
 // whose client takes no answer: they would hold a descriptor for ever.
-void ClientListener::sweep() {
+void ClientServer::sweep() {
     if (draining_) return;
-    std::vector<Link> stuck, silent;
+    std::vector<ConnectionPtr> stuck, silent;
     const auto now = steady_clock::now();
-    for (const Link& client : clients_) {
-        const Duration most = client->allWritten() ? rules_.mostPartial : rules_.mostUntaken;
+    for (const ConnectionPtr& client : clients_) {
+        const Duration most = client->allWritten() ? rules_.maxPartialTime : rules_.maxUndeliveredTime;
         if (client->stuckFor(clock_.now()) > most) stuck.push_back(client);
-        if (now - client->heardAt > rules_.mostPartial && client->isSilent()) silent.push_back(client);
+        if (now - client->heardAt > rules_.maxPartialTime && client->isSilent()) silent.push_back(client);
     }
-    for (const Link& client : silent) client->leave();
-    for (const Link& client : stuck) {
+    for (const ConnectionPtr& client : silent) client->leave();
+    for (const ConnectionPtr& client : stuck) {
         if (client->allWritten())
             client->refuse(408);
         else
@@ -455,12 +455,12 @@
 // Idle connections end while new ones are still taken: a client whose request crosses such an end sends it
 // once more, and finds somebody. All have ended, or carry a request, before what still comes might be killed
 // with it.
-void ClientListener::drain(std::function<void()> done) {
+void ClientServer::drain(std::function<void()> done) {
     if (draining_) return;
     draining_ = true;
     drained_ = std::move(done);
-    timers_.after(rules_.idleStays, [this] { sweepDraining(); });
-    timers_.after(rules_.stillListen, [this] {
+    timers_.after(rules_.idleGracePeriod, [this] { sweepDraining(); });
+    timers_.after(rules_.listenAfterShutdown, [this] {
         // What stands in the queue has been taken by this machine: it would be lost with the listener.
         for (error_code ec; !ec;) {
             tcp::socket socket(io_);
@@ -474,19 +474,19 @@
 }
 
 // Closes connections that stand idle, but none on which a request may just be coming.
-void ClientListener::sweepDraining() {
+void ClientServer::sweepDraining() {
     const auto now = steady_clock::now();
-    std::vector<Link> idle;
-    for (const Link& client : clients_) {
-        const bool settled = !client->isFresh() || now - client->heardAt > kFreshGrace;
+    std::vector<ConnectionPtr> idle;
+    for (const ConnectionPtr& client : clients_) {
+        const bool settled = !client->isFresh() || now - client->heardAt > kFirstRequestGrace;
         if (client->isIdle() && settled && !client->hasInput()) idle.push_back(client);
         if (client->stuckFor(clock_.now()) > kLinger) idle.push_back(client);
     }
-    for (const Link& client : idle) client->leave();
+    for (const ConnectionPtr& client : idle) client->leave();
     if (listening_ || !clients_.empty())
         timers_.after(kDrainSweep, [this] { sweepDraining(); });
     else if (drained_)
         std::exchange(drained_, nullptr)();
 }
 
-}  // namespace weldstall
+}  // namespace gateway::net
--- a/src/net/config.cpp
+++ b/src/net/config/config.cpp
@@ -1,17 +1,13 @@
-#include "net/config.h"
+#include "net/config/config.h"
 
 #include <charconv>
 #include <cstdlib>
 #include <fstream>
 #include <sstream>
 
-#include "settings_json.h"
+#include "settings/settings_json.h"
 
-namespace weldstall {
-
-using slipshift::FieldError;
-using slipshift::Fields;
-using slipshift::json;
+namespace gateway::net {
 
 namespace {
 
@@ -57,9 +53,9 @@
     override("EDGE_NAME", c.name);
     override("EDGE_LISTEN", listen);
     if (reading == Reading::atStart || discovery.empty()) override("EDGE_DISCOVERY", discovery);
-    c.listen = readEndpoint(listen, "EDGE_LISTEN");
-    c.discovery = readEndpoint(discovery, "EDGE_DISCOVERY");
-    if (f.find("counter") != nullptr) c.counter = readEndpoint(f.text("counter"), "config.counter");
+    c.listen = parseAddress(listen, "EDGE_LISTEN");
+    c.discovery = parseAddress(discovery, "EDGE_DISCOVERY");
+    if (f.find("counter") != nullptr) c.counter = parseAddress(f.text("counter"), "config.counter");
     c.seed = readSeed(f);
     if (f.find("limits") != nullptr) {
         const int sockets = f.object("limits").integer("sockets", 1024);
@@ -67,15 +63,16 @@
         c.sockets = static_cast<std::size_t>(sockets);
     }
     const Fields settings = f.object("settings");
-    c.settings = slipshift::readSettings(settings);
-    if (const auto problem = slipshift::problemWith(c.settings)) settings.complain("", *problem);
-    if (c.settings.mayCount && !c.counter) f.complain("counter", "is missing though the settings use it");
+    c.settings = readSettings(settings);
+    if (const auto problem = findSettingsProblem(c.settings)) settings.complain("", *problem);
+    if (c.settings.counterEnabled && !c.counter)
+        f.complain("counter", "is missing though the settings use it");
     settings.each("classes", [&](const Fields& k) { c.classes.push_back(k.text("name")); });
     if (settings.find("contracts") != nullptr)
         settings.each("contracts", [&](const Fields& p) { c.plans.push_back(p.text("name")); });
     c.keepAlive = settings.object("allowed").seconds("keepaliveS", 15);
     c.names = {readNames(settings, "zones"), readNames(settings, "kinds")};
-    if (f.find("known") != nullptr) c.known = readTargets(f.object("known"), c.names);
+    if (f.find("known") != nullptr) c.known = readEndpointList(f.object("known"), c.names);
     return c;
 }
 
@@ -89,4 +86,4 @@
     return readConfig(text.str(), reading);
 }
 
-}  // namespace weldstall
+}  // namespace gateway::net
--- a/src/net/config.h
+++ b/src/net/config/config.h
@@ -1,4 +1,4 @@
-// What a gatekeeper is told at its start: EDGE_CONFIG, with EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY over
+// What a gateway is told at its start: EDGE_CONFIG, with EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY over
 // it.
 #pragma once
 
@@ -7,37 +7,38 @@
 #include <string>
 #include <vector>
 
-#include "net/targets.h"
+#include "net/discovery/endpoint_list.h"
 
-namespace weldstall {
+namespace gateway::net {
 
 struct Config {
-    using Endpoint = boost::asio::ip::tcp::endpoint;
+    using Address = boost::asio::ip::tcp::endpoint;
 
     std::string name;
-    Endpoint listen, discovery;
-    std::optional<Endpoint> counter;
+    Address listen;
+    Address discovery;
+    std::optional<Address> counter;
     std::uint64_t seed = 0;
     std::size_t sockets = 1024;
-    slipshift::Settings settings;
+    Settings settings;
     std::vector<std::string> classes, plans;  // their names, in the order of the settings
-    slipshift::Duration keepAlive{};          // a worker closes a connection that was idle for this long
+    Duration keepAlive{};                     // an endpoint closes a connection that was idle for this long
     // After SIGTERM new connections go on coming for this long at least.
-    slipshift::Duration stillListen = std::chrono::milliseconds(500);
-    slipshift::Duration idleStays = std::chrono::milliseconds(250);  // connections without a request then
+    Duration listenAfterShutdown = std::chrono::milliseconds(500);
+    Duration idleGracePeriod = std::chrono::milliseconds(250);  // connections without a request then
     // A new process waits so long for the list that its agent has, which counts as told, before it is ready
     // on the one it was given. Longer would be no use: the agent says nothing while discovery is down.
-    slipshift::Duration listWait = std::chrono::milliseconds(500);
+    Duration initialUpdateWait = std::chrono::milliseconds(500);
     // One that was given an empty list is ready after so long without another: soon what discovery has counts
     // as told, and a process that never is ready is taken for one that failed.
-    slipshift::Duration emptyWait = std::chrono::seconds(5);
-    // A connection to a worker carries no next request for so long after an answer: a second one that comes
-    // some milliseconds late would be taken for that request's. Seen on played days: up to 4 ms.
-    slipshift::Duration rest = std::chrono::milliseconds(10);
+    Duration emptyListWait = std::chrono::seconds(5);
+    // A connection to an endpoint carries no next request for so long after an answer: a second one that
+    // comes some milliseconds late would be taken for that request's. Seen on played days: up to 4 ms.
+    Duration reuseDelay = std::chrono::milliseconds(10);
     // A connection whose first request has not begun, or on which one has not come whole, by then is ended.
-    slipshift::Duration mostPartial = std::chrono::seconds(2);
-    TargetNames names;
-    TargetList known;
+    Duration maxPartialTime = std::chrono::seconds(2);
+    EndpointNames names;
+    EndpointList known;
 };
 
 // When the file is read: at the start EDGE_DISCOVERY stands over it; a file that replaced it later is newer
@@ -48,4 +49,4 @@
 Config readConfig(const std::string& text, Reading reading = Reading::atStart);
 Config configFromEnvironment(Reading reading = Reading::atStart);
 
-}  // namespace weldstall
+}  // namespace gateway::net
--- a/src/net/counter_client.cpp
+++ b/src/net/counter/counter_client.cpp
@@ -1,4 +1,4 @@
-#include "net/counter_client.h"
+#include "net/counter/counter_client.h"
 
 #include <algorithm>
 #include <boost/beast/http/parser.hpp>
@@ -9,22 +9,19 @@
 #include <optional>
 #include <sstream>
 
-namespace weldstall {
+namespace gateway::net {
 
 namespace http = boost::beast::http;
-using slipshift::AddToCount;
-using slipshift::CountAnswered;
-using slipshift::Outcome;
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
 namespace {
 
-constexpr Duration kMostIdle = std::chrono::seconds(3);  // the counter closes after about 10 s or less
+constexpr Duration kMaxIdleTime = std::chrono::seconds(3);  // the counter closes after about 10 s or less
 // Time-outs that a call goes unanswered; then its connection is taken for dead, with what is added over it.
-constexpr int kMostSilent = 4;
-constexpr std::uint64_t kMostBody = 4096;
-constexpr Duration kFirstBackoff = milliseconds(20), kMostBackoff = milliseconds(500);
+constexpr int kMaxSilence = 4;
+constexpr std::uint64_t kMaxBodyBytes = 4096;
+constexpr Duration kInitialBackoff = milliseconds(20), kMaxBackoff = milliseconds(500);
 
 void appendDecimal(std::string& text, double value) {
     char digits[400];  // fixed notation: an exponent is no decimal number
@@ -49,14 +46,14 @@
 
 }  // namespace
 
-class CounterConnection final : public Channel {
+class CounterConnection final : public TcpConnection {
 public:
     CounterConnection(boost::asio::io_context& io, CounterClient& client, std::size_t lane)
-        : Channel(io), client_(client), lane_(lane) {
+        : TcpConnection(io), client_(client), lane_(lane) {
         renew();
     }
 
-    void call(const AddToCount& add) {
+    void call(const AddToCounter& add) {
         Call c;
         c.number = next_++;
         c.name = add.name;
@@ -83,8 +80,8 @@
     bool isStale() const {
         const auto now = steady_clock::now();
         if (!isOpen()) return false;
-        return calls_.empty() ? now - heardAt_ > kMostIdle
-                              : now - calls_.front().began > kMostSilent * client_.limits_.answer;
+        return calls_.empty() ? now - heardAt_ > kMaxIdleTime
+                              : now - calls_.front().began > kMaxSilence * client_.limits_.answer;
     }
 
     // All calls have been told; late answers may still be due.
@@ -105,7 +102,7 @@
         close();
         for (std::deque<Call> calls = std::exchange(calls_, {}); Call & c : calls) {
             // Nothing was added unless the call's last byte went out.
-            if (!c.told) tell(c, wentOut(c) ? wentOutAs : Outcome::connectFailed, 0);
+            if (!c.told) dispatch(c, wentOut(c) ? wentOutAs : Outcome::connectFailed, 0);
         }
     }
 
@@ -129,7 +126,7 @@
 
     void renew() {
         parser_.emplace();
-        parser_->body_limit(kMostBody);
+        parser_->body_limit(kMaxBodyBytes);
         parser_->eager(true);
     }
 
@@ -146,7 +143,7 @@
             input().consume(parser_->put(input().data(), ec));
             if (ec == http::error::need_more) return;
             // Unreadable: what it answers was added, and of what stands behind it nothing will be told.
-            if (announcesMore(*parser_, kMostBody)) return ended();
+            if (announcesMore(*parser_, kMaxBodyBytes)) return ended();
             if (ec || parser_->need_eof() || (parser_->is_done() && calls_.empty())) return ended();
             if (!parser_->is_done()) return;
             const int status = static_cast<int>(parser_->get().result_int());
@@ -165,7 +162,7 @@
                 return ended();
             }
             // An answer after the time-out has been told already; it is only taken off the line.
-            if (!c.told) tell(c, status == 200 ? Outcome::ok : Outcome::rejected, total.value_or(0));
+            if (!c.told) dispatch(c, status == 200 ? Outcome::ok : Outcome::rejected, total.value_or(0));
             if (!isOpen()) return;
             if (!stays) return ended();
         }
@@ -185,20 +182,20 @@
         if (found->lastByte == 0) {  // never handed over, so it never will be
             const Call c = std::move(*found);
             calls_.erase(found);
-            return tell(c, Outcome::connectFailed, 0);
+            return dispatch(c, Outcome::connectFailed, 0);
         }
         found->told = true;
-        tell(*found, Outcome::timedOut, 0);
+        dispatch(*found, Outcome::timedOut, 0);
     }
 
-    void tell(const Call& c, Outcome outcome, double total) {
+    void dispatch(const Call& c, Outcome outcome, double total) {
         client_.timers_.cancel(c.timer);
-        CountAnswered answer;
+        CounterReplied answer;
         answer.name = c.name;
         answer.outcome = outcome;
         answer.total = total;
         answer.elapsed = std::chrono::duration_cast<Duration>(steady_clock::now() - c.began);
-        client_.answered_(std::move(answer));
+        client_.onReply_(std::move(answer));
         client_.told(*this, lane_);
     }
 
@@ -212,12 +209,12 @@
 };
 
 CounterClient::CounterClient(boost::asio::io_context& io, TimerQueue& timers, const tcp::endpoint& address,
-                             const Limits& limits, Answered answered)
+                             const Limits& limits, ReplyHandler answered)
     : io_(io),
       timers_(timers),
       address_(address),
       limits_(limits),
-      answered_(std::move(answered)),
+      onReply_(std::move(answered)),
       lanes_(limits.connections) {
     host_ = textOf(address);
 }
@@ -229,14 +226,14 @@
         lane.link = nullptr;
         stale->failAll();
     }
-    if (!lane.link && steady_clock::now() >= lane.closedUntil) dial(lane);
+    if (!lane.link && steady_clock::now() >= lane.closedUntil) connect(lane);
     return lane.link;
 }
 
-void CounterClient::dial(Lane& lane) {
+void CounterClient::connect(Lane& lane) {
     const auto index = static_cast<std::size_t>(&lane - lanes_.data());
     lane.link = std::make_shared<CounterConnection>(io_, *this, index);
-    lane.link->dial(address_, timers_, limits_.dial, limits_.makeRoom);
+    lane.link->connect(address_, timers_, limits_.connect, limits_.reclaimDescriptor);
 }
 
 void CounterClient::move(const tcp::endpoint& address) {
@@ -256,7 +253,7 @@
         }
         lane.backoff = {};
         lane.closedUntil = {};
-        if (!lane.link) dial(lane);  // what was told may have caused a call already
+        if (!lane.link) connect(lane);  // what was told may have caused a call already
     }
 }
 
@@ -280,17 +277,17 @@
     });
 }
 
-void CounterClient::add(const AddToCount& call) {
+void CounterClient::add(const AddToCounter& call) {
     Lane& lane = lanes_[std::hash<std::string>{}(call.name) % lanes_.size()];
     if (const auto& link = open(lane)) {
         link->call(call);
         lane.unflushed = true;
         return;
     }
-    CountAnswered answer;  // it could not be reached a moment ago
+    CounterReplied answer;  // it could not be reached a moment ago
     answer.name = call.name;
     answer.outcome = Outcome::connectFailed;
-    answered_(std::move(answer));
+    onReply_(std::move(answer));
 }
 
 void CounterClient::flush() {
@@ -308,9 +305,9 @@
     Lane& lane = lanes_[index];
     if (lane.link.get() != &link) return;
     lane.link = nullptr;
-    if (wasOpen) return;  // an idle one that was closed: the next call dials at once
-    lane.backoff = std::clamp(lane.backoff * 2, kFirstBackoff, kMostBackoff);
+    if (wasOpen) return;  // an idle one that was closed: the next call connects at once
+    lane.backoff = std::clamp(lane.backoff * 2, kInitialBackoff, kMaxBackoff);
     lane.closedUntil = steady_clock::now() + lane.backoff;
 }
 
-}  // namespace weldstall
+}  // namespace gateway::net
--- a/src/net/counter_client.h
+++ b/src/net/counter/counter_client.h
@@ -8,27 +8,29 @@
 #include <string>
 #include <vector>
 
-#include "net/channel.h"
+#include "gateway/actions.h"
+#include "gateway/events.h"
+#include "net/transport/tcp_connection.h"
 
-namespace weldstall {
+namespace gateway::net {
 
 class CounterConnection;
 
 class CounterClient {
 public:
     struct Limits {
-        std::size_t connections = 8;  // the counter takes 32 of a gatekeeper
-        Duration answer{}, dial{};
-        MakeRoom makeRoom{};
+        std::size_t connections = 8;  // the counter takes 32 of a gateway
+        Duration answer{}, connect{};
+        ReclaimDescriptor reclaimDescriptor{};
     };
-    using Answered = std::function<void(slipshift::CountAnswered&&)>;
+    using ReplyHandler = std::function<void(CounterReplied&&)>;
 
     CounterClient(boost::asio::io_context& io, TimerQueue& timers, const tcp::endpoint& address,
-                  const Limits& limits, Answered answered);
+                  const Limits& limits, ReplyHandler answered);
     ~CounterClient();
 
     // Every call ends with one Answered, at the earliest within this call. It goes out with flush().
-    void add(const slipshift::AddToCount& call);
+    void add(const AddToCounter& call);
     void flush();
     // Every call has been told of.
     bool isIdle() const;
@@ -46,7 +48,7 @@
         bool unflushed = false;
     };
     std::shared_ptr<CounterConnection>& open(Lane& lane);
-    void dial(Lane& lane);
+    void connect(Lane& lane);
     void broke(const CounterConnection& link, std::size_t lane, bool wasOpen);
     bool mayWrite(const CounterConnection& link, std::size_t lane) const;
     void told(const CounterConnection& link, std::size_t lane);
@@ -56,8 +58,8 @@
     tcp::endpoint address_;
     std::string host_;  // as told to the counter
     Limits limits_;
-    Answered answered_;
+    ReplyHandler onReply_;
     std::vector<Lane> lanes_;
 };
 
-}  // namespace weldstall
+}  // namespace gateway::net
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery/discovery_client.cpp
@@ -1,4 +1,4 @@
-#include "net/discovery_watch.h"
+#include "net/discovery/discovery_client.h"
 
 #include <algorithm>
 #include <boost/beast/http/parser.hpp>
@@ -8,9 +8,9 @@
 #include <sstream>
 #include <utility>
 
-#include "net/json_stream.h"
+#include "net/discovery/json_stream.h"
 
-namespace weldstall {
+namespace gateway::net {
 
 namespace http = boost::beast::http;
 
@@ -18,16 +18,16 @@
 
 // Ended before only by a newer call: one that comes up late is a call that is not answered yet. The bound is
 // for the handlers, past the life of any call.
-constexpr Duration kDialLimit = std::chrono::seconds(10);
-constexpr std::size_t kMostWaiting = 2;
-constexpr std::size_t kMostBody = 4 * 1024 * 1024;
+constexpr Duration kConnectTimeout = std::chrono::seconds(10);
+constexpr std::size_t kMaxPendingCalls = 2;
+constexpr std::size_t kMaxBodyBytes = 4 * 1024 * 1024;
 
 }  // namespace
 
-class WatchConnection final : public Channel {
+class WatchStream final : public TcpConnection {
 public:
-    WatchConnection(boost::asio::io_context& io, DiscoveryWatch& watch)
-        : Channel(io), watch_(watch), wholeFirst_(watch.needsWhole_) {}
+    WatchStream(boost::asio::io_context& io, DiscoveryClient& watch)
+        : TcpConnection(io), watch_(watch), wholeFirst_(watch.needsWhole_) {}
 
 private:
     void opened() override {
@@ -40,26 +40,26 @@
     // so its time runs from there.
     void listen() {
         listening_ = false;
-        if (!answered_) return;
+        if (!onReply_) return;
         const auto silent = std::chrono::steady_clock::now() - heardAt_;
-        if (silent >= kMostSilent) {
-            answered_ = false;
+        if (silent >= kMaxSilence) {
+            onReply_ = false;
             // Between two objects nothing is lost with the connection; amid one, the rest may yet come.
             const bool amidList = wholeFirst_ || objects_.held() > 0;
             if (!amidList) close();
             return watch_.fellSilent(*this, amidList);
         }
         listening_ = true;
-        watch_.timers_.after(std::chrono::duration_cast<Duration>(kMostSilent - silent),
+        watch_.timers_.after(std::chrono::duration_cast<Duration>(kMaxSilence - silent),
                              [weak = weak_from_this()] {
-                                 const auto self = std::static_pointer_cast<WatchConnection>(weak.lock());
+                                 const auto self = std::static_pointer_cast<WatchStream>(weak.lock());
                                  if (self && self->isOpen()) self->listen();
                              });
     }
 
     // A status line or a head alone brings nothing: a list behind it may take as long as it would without.
     void heardBody() {
-        if (std::exchange(answered_, true)) return;
+        if (std::exchange(onReply_, true)) return;
         watch_.answers(*this);
         if (!listening_) listen();
     }
@@ -87,7 +87,7 @@
                 if (parser_->get().result_int() != 200) return over();
                 if (!parser_->get().body().empty()) heardBody();
                 if (!wholeFirst_) takeObjects();
-                if (parser_->get().body().size() + objects_.held() > kMostBody) return over();
+                if (parser_->get().body().size() + objects_.held() > kMaxBodyBytes) return over();
                 if (!isOpen()) return;
             }
             if (ec == http::error::need_more) return;
@@ -96,7 +96,7 @@
                 wholeFirst_ = false;
                 if (!parser_->keep_alive()) return over();
                 ask();
-                answered_ = false;
+                onReply_ = false;
                 watch_.asksAgain(*this);
                 continue;
             }
@@ -117,18 +117,19 @@
     }
     void ended() override { watch_.over(*this); }
 
-    DiscoveryWatch& watch_;
+    DiscoveryClient& watch_;
     bool wholeFirst_;
-    bool answered_ = false;   // and goes on being answered
+    bool onReply_ = false;    // and goes on being answered
     bool listening_ = false;  // a timer looks at how long it has been silent
     std::chrono::steady_clock::time_point heardAt_{};
     JsonStream objects_;
     std::optional<http::response_parser<http::string_body>> parser_;
 };
 
-DiscoveryWatch::DiscoveryWatch(boost::asio::io_context& io, TimerQueue& timers, const Clock& clock,
-                               const tcp::endpoint& address, TargetNames names, std::uint64_t since,
-                               const CallSchedule& schedule, MakeRoom makeRoom, Told told)
+DiscoveryClient::DiscoveryClient(boost::asio::io_context& io, TimerQueue& timers, const Clock& clock,
+                                 const tcp::endpoint& address, EndpointNames names, std::uint64_t since,
+                                 const PollSchedule& schedule, ReclaimDescriptor reclaimDescriptor,
+                                 UpdateHandler told)
     : io_(io),
       timers_(timers),
       clock_(clock),
@@ -136,40 +137,40 @@
       names_(std::move(names)),
       since_(since),
       schedule_(schedule),
-      makeRoom_(std::move(makeRoom)),
-      told_(std::move(told)) {}
-DiscoveryWatch::~DiscoveryWatch() = default;
+      reclaimDescriptor_(std::move(reclaimDescriptor)),
+      onUpdate_(std::move(told)) {}
+DiscoveryClient::~DiscoveryClient() = default;
 
 // The next call is set at once: whatever becomes of this one, only an answer takes it back.
-void DiscoveryWatch::call() {
+void DiscoveryClient::call() {
     if (stopped_) return;
-    if (waiting_.size() >= kMostWaiting) {
+    if (waiting_.size() >= kMaxPendingCalls) {
         waiting_.front()->close();
         waiting_.erase(waiting_.begin());
     }
-    const Link link = std::make_shared<WatchConnection>(io_, *this);
+    const ConnectionPtr link = std::make_shared<WatchStream>(io_, *this);
     waiting_.push_back(link);
     callIn(schedule_.afterBegin(clock_.now()));
-    link->dial(address_, timers_, kDialLimit, makeRoom_);
+    link->connect(address_, timers_, kConnectTimeout, reclaimDescriptor_);
 }
 
-void DiscoveryWatch::callIn(Duration wait) {
+void DiscoveryClient::callIn(Duration wait) {
     timers_.cancel(next_);
     next_ = timers_.after(wait, [this] { call(); });
 }
 
-void DiscoveryWatch::closeAll() {
-    if (const Link watch = std::exchange(watch_, nullptr)) watch->close();
-    for (const Link& link : std::exchange(waiting_, {})) link->close();
+void DiscoveryClient::closeAll() {
+    if (const ConnectionPtr watch = std::exchange(watch_, nullptr)) watch->close();
+    for (const ConnectionPtr& link : std::exchange(waiting_, {})) link->close();
 }
 
-void DiscoveryWatch::stop() {
+void DiscoveryClient::stop() {
     stopped_ = true;
     timers_.cancel(next_);
     closeAll();
 }
 
-void DiscoveryWatch::move(const tcp::endpoint& address) {
+void DiscoveryClient::move(const tcp::endpoint& address) {
     if (stopped_ || address == address_) return;
     address_ = address;
     needsWhole_ = true;
@@ -179,17 +180,17 @@
     call();
 }
 
-bool DiscoveryWatch::isNewest(const WatchConnection& link) const {
+bool DiscoveryClient::isNewest(const WatchStream& link) const {
     return !waiting_.empty() && waiting_.back().get() == &link;
 }
 
-void DiscoveryWatch::opened(const WatchConnection& link) {
+void DiscoveryClient::opened(const WatchStream& link) {
     if (isNewest(link)) callIn(schedule_.afterRequest(clock_.now()));
 }
 
-void DiscoveryWatch::answers(const WatchConnection& link) {
+void DiscoveryClient::answers(const WatchStream& link) {
     timers_.cancel(next_);
-    for (const Link& waiting : std::exchange(waiting_, {})) {
+    for (const ConnectionPtr& waiting : std::exchange(waiting_, {})) {
         if (waiting.get() == &link)
             watch_ = waiting;
         else
@@ -198,46 +199,46 @@
 }
 
 // It has brought its whole list and is asked for what comes behind that.
-void DiscoveryWatch::asksAgain(const WatchConnection& link) {
+void DiscoveryClient::asksAgain(const WatchStream& link) {
     if (watch_.get() != &link) return;
     waiting_.push_back(std::exchange(watch_, nullptr));
     callIn(schedule_.afterRequest(clock_.now()));
 }
 
-void DiscoveryWatch::fellSilent(const WatchConnection& link, bool amidList) {
+void DiscoveryClient::fellSilent(const WatchStream& link, bool amidList) {
     if (watch_.get() != &link) return;
-    const Link silent = std::exchange(watch_, nullptr);
+    const ConnectionPtr silent = std::exchange(watch_, nullptr);
     if (amidList) waiting_.push_back(silent);
     callIn(schedule_.afterSilence(clock_.now()));
 }
 
-void DiscoveryWatch::over(const WatchConnection& link) {
+void DiscoveryClient::over(const WatchStream& link) {
     const bool wasWatch = watch_.get() == &link, wasNewest = isNewest(link);
     if (wasWatch) watch_ = nullptr;
-    std::erase_if(waiting_, [&](const Link& waiting) { return waiting.get() == &link; });
+    std::erase_if(waiting_, [&](const ConnectionPtr& waiting) { return waiting.get() == &link; });
     // Behind an older one the next call is set already.
     if (!stopped_ && (wasWatch || wasNewest))
-        callIn(link.ownShortage() ? schedule_.afterShortage() : schedule_.afterEnd(clock_.now()));
+        callIn(link.lacksDescriptor() ? schedule_.afterShortage() : schedule_.afterEnd(clock_.now()));
 }
 
-void DiscoveryWatch::whole(std::string_view text) {
+void DiscoveryClient::whole(std::string_view text) {
     take(text, true);
     needsWhole_ = false;
 }
 
-void DiscoveryWatch::take(std::string_view text, bool whole) {
-    TargetList list;
+void DiscoveryClient::take(std::string_view text, bool whole) {
+    EndpointList list;
     try {
-        const slipshift::json document = slipshift::json::parse(text);
-        list = readTargets(slipshift::Fields(document, "targets"), names_);
+        const json document = json::parse(text);
+        list = readEndpointList(Fields(document, "targets"), names_);
     } catch (const std::exception& e) {
-        std::cerr << "weldstall: discovery: " << e.what() << '\n';
+        std::cerr << "gateway: discovery: " << e.what() << '\n';
         throw;  // ends the connection; the next watch asks again from the last good version
     }
     since_ = list.index;
     schedule_.answered();
     list.full = list.full || whole;
-    told_(list);
+    onUpdate_(list);
 }
 
-}  // namespace weldstall
+}  // namespace gateway::net
--- a/src/net/targets.cpp
+++ b/src/net/discovery/endpoint_list.cpp
@@ -1,13 +1,10 @@
-#include "net/targets.h"
+#include "net/discovery/endpoint_list.h"
 
 #include <algorithm>
 #include <boost/asio/ip/address.hpp>
 #include <charconv>
 
-namespace weldstall {
-
-using slipshift::Availability;
-using slipshift::FieldError;
+namespace gateway::net {
 
 namespace {
 
@@ -18,7 +15,7 @@
 
 }  // namespace
 
-boost::asio::ip::tcp::endpoint readEndpoint(const std::string& text, const std::string& what) {
+boost::asio::ip::tcp::endpoint parseAddress(const std::string& text, const std::string& what) {
     const std::size_t colon = text.rfind(':');
     unsigned short port = 0;
     boost::system::error_code ec;
@@ -31,26 +28,26 @@
     throw FieldError(what + ": must be ADDRESS:PORT, not '" + text + "'");
 }
 
-TargetList readTargets(const slipshift::Fields& f, const TargetNames& names) {
-    TargetList list;
+EndpointList readEndpointList(const Fields& f, const EndpointNames& names) {
+    EndpointList list;
     list.index = f.unsignedInteger("index");
     list.full = f.flag("snapshot");
-    f.each("endpoints", [&](const slipshift::Fields& item) {
-        Target t;
-        t.entry.worker = item.text("name");
+    f.each("endpoints", [&](const Fields& item) {
+        ResolvedEndpoint t;
+        t.entry.endpoint = item.text("name");
         t.entry.availability = item.choice<Availability>("status", {{"in_service", Availability::up},
                                                                     {"terminating", Availability::draining},
-                                                                    {"terminated", Availability::gone}});
-        if (t.entry.availability != Availability::gone || item.find("address") != nullptr)
-            t.address = readEndpoint(item.text("address"), "address");
+                                                                    {"terminated", Availability::removed}});
+        if (t.entry.availability != Availability::removed || item.find("address") != nullptr)
+            t.address = parseAddress(item.text("address"), "address");
         if (item.find("zone") != nullptr) t.entry.zone = positionOf(item.text("zone"), names.zones);
         if (item.find("type") != nullptr) t.entry.kind = positionOf(item.text("type"), names.kinds);
         t.entry.cell = item.integer("group", 0);
         t.entry.weight = item.number("weight", 1);
-        t.entry.startedAt = slipshift::Time(std::llround(item.number("since_ms", 0) * 1e3));
-        list.targets.push_back(std::move(t));
+        t.entry.startedAt = Time(std::llround(item.number("since_ms", 0) * 1e3));
+        list.endpoints.push_back(std::move(t));
     });
     return list;
 }
 
-}  // namespace weldstall
+}  // namespace gateway::net
--- a/src/net/targets.h
+++ b/src/net/discovery/endpoint_list.h
@@ -1,4 +1,4 @@
-// Discovery's form of the list of workers.
+// Discovery's form of the list of endpoints.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -6,30 +6,31 @@
 #include <string>
 #include <vector>
 
-#include "json_fields.h"
+#include "gateway/events.h"
+#include "settings/json_fields.h"
 
-namespace weldstall {
+namespace gateway::net {
 
-struct Target {
-    slipshift::WorkerEntry entry;
+struct ResolvedEndpoint {
+    EndpointEntry entry;
     boost::asio::ip::tcp::endpoint address;
 };
 
-struct TargetList {
+struct EndpointList {
     std::uint64_t index = 0;
     bool full = false;
-    std::vector<Target> targets;
+    std::vector<ResolvedEndpoint> endpoints;
 };
 
 // The words that targets use for zones and kinds of machine, in the order of the settings.
-struct TargetNames {
+struct EndpointNames {
     std::vector<std::string> zones, kinds;
 };
 
 // Throws FieldError, naming the place, where the list is malformed.
-TargetList readTargets(const slipshift::Fields& f, const TargetNames& names);
+EndpointList readEndpointList(const Fields& f, const EndpointNames& names);
 
 // "10.0.0.4:7070"; throws FieldError, with `what` in front, when it is none.
-boost::asio::ip::tcp::endpoint readEndpoint(const std::string& text, const std::string& what);
+boost::asio::ip::tcp::endpoint parseAddress(const std::string& text, const std::string& what);
 
-}  // namespace weldstall
+}  // namespace gateway::net
--- a/src/net/json_stream.h
+++ b/src/net/discovery/json_stream.h
@@ -4,9 +4,9 @@
 #include <string>
 #include <string_view>
 
-#include "json_fields.h"
+#include "settings/json_fields.h"
 
-namespace weldstall {
+namespace gateway::net {
 
 // Objects may come indented, several in one piece or one in many: only its closing bracket ends one. What it
 // holds is checked by who parses it.
@@ -19,7 +19,7 @@
         for (const char c : bytes) {
             if (depth_ == 0) {
                 if (c == ' ' || c == '\n' || c == '\r' || c == '\t') continue;
-                if (c != '{' && c != '[') throw slipshift::FieldError("stream: not a JSON object");
+                if (c != '{' && c != '[') throw FieldError("stream: not a JSON object");
             }
             held_ += c;
             if (inText_) {
@@ -44,4 +44,4 @@
     bool inText_ = false, escaped_ = false;
 };
 
-}  // namespace weldstall
+}  // namespace gateway::net
--- /dev/null
+++ b/src/net/discovery/poll_schedule.h
@@ -0,0 +1,108 @@
+// When discovery is called, and called again. Arithmetic alone: no sockets, no timers, no clock.
+#pragma once
+
+#include <algorithm>
+#include <cstdint>
+
+#include "net/transport/backoff.h"
+#include "net/transport/clock.h"
+
+namespace gateway::net {
+
+// What discovery has to tell counts 6 s after it had it and could be reached, 6 s after a watch's last word
+// and 4 s after SIGHUP, whatever became of the calls before. A call that finds it well gets `kMostCall` of
+// that.
+constexpr Duration kUpdateDeadline = std::chrono::seconds(6), kReloadDeadline = std::chrono::seconds(4);
+constexpr Duration kMaxCallTime = std::chrono::milliseconds(1500);
+constexpr Duration kMaxCallTimeAfterSilence = std::chrono::milliseconds(1200);  // its time is shorter
+// A live watch says something every 2 s; so long after its last word it is taken for broken.
+constexpr Duration kMaxSilence = std::chrono::milliseconds(2300);
+constexpr Duration kMaxConnectTime =
+    std::chrono::seconds(1);  // for an agent on the own machine to take a call
+
+// The moments t with t mod period == period * self / gateways, on the clock that all gateways share:
+// `n` of them call n / period times a second, evenly, without a word between them. Drawn moments would have
+// peaks.
+class PollSlots {
+public:
+    PollSlots(int self, int gatewayCount)
+        : self_(std::clamp(self, 0, std::max(gatewayCount, 1) - 1)), engines_(std::max(gatewayCount, 1)) {}
+
+    // The first own moment after `now`: more than 0 and at most `period` away.
+    Duration until(Time now, Duration period) const {
+        const Duration own = period * self_ / engines_;
+        const Duration past = (now - own) % period;
+        return past < Duration::zero() ? -past : period - past;
+    }
+
+private:
+    int self_, engines_;
+};
+
+// Each answer is how long from `now` the next call has to wait, if nothing else happens before.
+class PollSchedule {
+public:
+    // An agent on the own machine, at no cost to others: what it gets counts at once.
+    static PollSchedule push(std::uint64_t seed) {
+        return PollSchedule(PollSlots(0, 1), Duration::zero(), seed);
+    }
+    // One service with a queue for all gateways. `mustAsk`: the longest that it may go unasked; 0: not
+    // told.
+    static PollSchedule poll_(int self, int gatewayCount, Duration maxPollInterval, std::uint64_t seed) {
+        constexpr Duration usual = kUpdateDeadline - kMaxCallTime;
+        const Duration most =
+            maxPollInterval > Duration::zero() ? std::max(maxPollInterval, kMinPeriod) : usual;
+        return PollSchedule(PollSlots(self, gatewayCount), std::min(usual, most), seed);
+    }
+
+    // Counted from a call's own beginning, not from when it is given up.
+    Duration afterBegin(Time now) const { return polls() ? slot(now, usual_) : kMaxConnectTime; }
+    // The connection is up and the request written.
+    Duration afterRequest(Time now) const { return polls() ? slot(now, usual_) : kMaxSilence; }
+    // Refused, turned away, broken, or answered with what can't be read.
+    Duration afterEnd(Time now) {
+        if (!polls()) return backoff_.next();
+        return slot(now, now < urgentUntil_ ? urgentPeriod_ : usual_);
+    }
+    // 2.3 s of its term have passed since its last word.
+    Duration afterSilence(Time now) {
+        return polls() ? urgent(now, kUpdateDeadline - kMaxSilence, kSilentPeriod) : Duration::zero();
+    }
+    Duration afterReload(Time now) {
+        backoff_.reset();
+        return polls() ? urgent(now, kReloadDeadline, kReloadPeriod) : Duration::zero();
+    }
+    // There was no descriptor for it: discovery has seen nothing of that call.
+    Duration afterShortage() { return backoff_.next(); }
+    // A list was told.
+    void answered() {
+        backoff_.reset();
+        urgentUntil_ = Time::min();
+    }
+
+private:
+    static constexpr Duration kMinPeriod = std::chrono::seconds(1);
+    static constexpr Duration kSilentPeriod = kUpdateDeadline - kMaxSilence - kMaxCallTimeAfterSilence;
+    static constexpr Duration kReloadPeriod = std::chrono::milliseconds(1500);
+    static constexpr Duration kBackoffInitial = std::chrono::milliseconds(50);
+    static constexpr Duration kBackoffMax = std::chrono::milliseconds(200);
+
+    PollSchedule(const PollSlots& slots, Duration usual, std::uint64_t seed)
+        : slots_(slots), usual_(usual), backoff_(kBackoffInitial, kBackoffMax, seed) {}
+    bool polls() const { return usual_ > Duration::zero(); }
+    // Also one that is turned away comes again so soon while the term lasts.
+    Duration urgent(Time now, Duration term, Duration period) {
+        urgentUntil_ = now + term;
+        urgentPeriod_ = period;
+        return slot(now, period);
+    }
+    Duration slot(Time now, Duration period) const { return slots_.until(now, std::min(period, usual_)); }
+
+    PollSlots slots_;
+    Duration usual_;  // 0: pushed
+    Time urgentUntil_ = Time::min();
+    Duration urgentPeriod_{};
+    Backoff backoff_;
+};
+
+}  // namespace gateway::net
--- a/src/net/service.cpp
+++ b/src/net/server/service.cpp
@@ -1,4 +1,4 @@
-#include "net/service.h"
+#include "net/server/service.h"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
@@ -6,14 +6,14 @@
 #include <exception>
 #include <iostream>
 
-#include "net/host.h"
+#include "net/server/gateway_server.h"
 
-namespace weldstall {
+namespace gateway::net {
 
-void serve(const Config& config, const std::function<void(const Config::Endpoint&)>& listening) {
+void serve(const Config& config, const std::function<void(const Config::Address&)>& listening) {
     std::signal(SIGPIPE, SIG_IGN);  // a peer that is gone shows as an error of the write
     boost::asio::io_context io(BOOST_ASIO_CONCURRENCY_HINT_UNSAFE);
-    Host host(io, config);
+    GatewayServer host(io, config);
     boost::asio::signal_set signals(io, SIGTERM, SIGINT);
     signals.async_wait([&](const boost::system::error_code& ec, int) {
         if (!ec) host.drain([&io] { io.stop(); });
@@ -24,10 +24,10 @@
         hangups.async_wait([&](const boost::system::error_code& ec, int) {
             if (ec) return;
             try {
-                host.spareDescriptor();
+                host.ensureDescriptor();
                 host.reload(configFromEnvironment(Reading::again));
             } catch (const std::exception& e) {
-                std::cerr << "weldstall: SIGHUP: " << e.what() << '\n';
+                std::cerr << "gateway: SIGHUP: " << e.what() << '\n';
             }
             await();
         });
@@ -40,9 +40,9 @@
             io.run();
             over = true;
         } catch (const std::exception& e) {  // ends what threw, not the process
-            std::cerr << "weldstall: " << e.what() << '\n';
+            std::cerr << "gateway: " << e.what() << '\n';
         }
     }
 }
 
-}  // namespace weldstall
+}  // namespace gateway::net
--- a/src/net/backoff.h
+++ b/src/net/transport/backoff.h
@@ -5,11 +5,11 @@
 #include <cstdint>
 #include <random>
 
-#include "net/clock.h"
+#include "net/transport/clock.h"
 
-namespace weldstall {
+namespace gateway::net {
 
-// Many gatekeepers lose the same peer at the same moment: without jitter they would all be back together, and
+// Many gateways lose the same peer at the same moment: without jitter they would all be back together, and
 // without growth a peer that works its queue off too late would never be let off.
 class Backoff {
 public:
@@ -32,4 +32,4 @@
     std::mt19937_64 random_;
 };
 
-}  // namespace weldstall
+}  // namespace gateway::net
--- a/src/net/clock.h
+++ b/src/net/transport/clock.h
@@ -3,15 +3,12 @@
 
 #include <chrono>
 
-#include "slipshift/gatekeeper.h"
+#include "gateway/types.h"
 
-namespace weldstall {
+namespace gateway::net {
 
-using slipshift::Duration;
-using slipshift::Time;
-
-// Guards against steps of the system's clock in mid-life; the epoch is the one that all gatekeepers share,
-// since the names of slices on the counter and the workers' starts are told in it.
+// Guards against steps of the system's clock in mid-life; the epoch is the one that all gateways share,
+// since the names of slices on the counter and the endpoints' starts are told in it.
 class Clock {
 public:
     Time now() const { return at(std::chrono::steady_clock::now()); }
@@ -24,4 +21,4 @@
     Time base_ = std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch());
 };
 
-}  // namespace weldstall
+}  // namespace gateway::net
--- a/src/net/channel.cpp
+++ b/src/net/transport/tcp_connection.cpp
@@ -1,4 +1,4 @@
-#include "net/channel.h"
+#include "net/transport/tcp_connection.h"
 
 #include <poll.h>
 
@@ -6,7 +6,7 @@
 #include <cstring>
 #include <exception>
 
-namespace weldstall {
+namespace gateway::net {
 namespace {
 
 constexpr std::size_t kReadSize = 4096;
@@ -18,7 +18,7 @@
 
 // An exception while one connection is served ends that connection, not the process.
 template <class Step>
-void Channel::guarded(Step&& step) {
+void TcpConnection::guarded(Step&& step) {
     try {
         step();
     } catch (const std::exception&) {
@@ -26,14 +26,15 @@
     }
 }
 
-void Channel::dial(const tcp::endpoint& peer, TimerQueue& timers, Duration limit, const MakeRoom& makeRoom) {
+void TcpConnection::connect(const tcp::endpoint& peer, TimerQueue& timers, Duration limit,
+                            const ReclaimDescriptor& reclaimDescriptor) {
     error_code ec;
     socket_.open(peer.protocol(), ec);
-    if (ec && makeRoom && makeRoom()) socket_.open(peer.protocol(), ec);
-    ownShortage_ = static_cast<bool>(ec);
+    if (ec && reclaimDescriptor && reclaimDescriptor()) socket_.open(peer.protocol(), ec);
+    lacksDescriptor_ = static_cast<bool>(ec);
     if (ec) {  // out of descriptors, say: told from the loop, as all failures are
         timers.after(Duration::zero(), [self = weak_from_this()] {
-            if (const auto channel = self.lock()) channel->fail();
+            if (const auto connection = self.lock()) connection->fail();
         });
         return;
     }
@@ -45,13 +46,13 @@
             opened();
         });
     });
-    // A machine that is cut off never answers: only this timer ends the dialling.
+    // A machine that is cut off never answers: only this timer ends the connecting.
     timers.after(limit, [self = weak_from_this()] {
-        if (const auto channel = self.lock(); channel && !channel->open_) channel->fail();
+        if (const auto connection = self.lock(); connection && !connection->open_) connection->fail();
     });
 }
 
-void Channel::start() {
+void TcpConnection::start() {
     open_ = true;
     error_code ec;
     socket_.set_option(tcp::no_delay(true), ec);
@@ -59,7 +60,7 @@
     read();
 }
 
-void Channel::read() {
+void TcpConnection::read() {
     if (closed_ || reading_) return;
     reading_ = true;
     const bool drops = discarding_;
@@ -82,18 +83,18 @@
     });
 }
 
-void Channel::discardInput() {
+void TcpConnection::discardInput() {
     discarding_ = true;
     input_.consume(input_.size());
 }
 
-void Channel::flush() {
+void TcpConnection::flush() {
     if (!open_ || closed_ || writing_ || allWritten()) return;
     error_code ec;
-    const auto rest = [this] {
+    const auto reuseDelay = [this] {
         return boost::asio::buffer(output_.data() + outputAt_, output_.size() - outputAt_);
     };
-    const std::size_t size = socket_.write_some(rest(), ec);
+    const std::size_t size = socket_.write_some(reuseDelay(), ec);
     written_ += size;
     outputAt_ += size;
     if (allWritten()) {
@@ -116,7 +117,7 @@
     });
 }
 
-Channel::Peeked Channel::peek() {
+TcpConnection::Peeked TcpConnection::peek() {
     char byte;
     error_code ec;
     const std::size_t size = socket_.receive(boost::asio::buffer(&byte, 1), tcp::socket::message_peek, ec);
@@ -124,31 +125,31 @@
     return !ec && size > 0 ? Peeked::bytes : Peeked::end;
 }
 
-bool Channel::endHasCome() {
+bool TcpConnection::endHasCome() {
     if (closed_) return true;
     const Peeked peeked = peek();
     if (peeked != Peeked::bytes) return peeked == Peeked::end;
-    pollfd asked{socket_.native_handle(), POLLRDHUP, 0};  // tells of an end whatever stands in front of it
-    return ::poll(&asked, 1, 0) > 0 && asked.revents != 0;
+    pollfd poll_{socket_.native_handle(), POLLRDHUP, 0};  // tells of an end whatever stands in front of it
+    return ::poll(&poll_, 1, 0) > 0 && poll_.revents != 0;
 }
 
-void Channel::shutdownSend() {
+void TcpConnection::shutdownSend() {
     error_code ec;
     socket_.shutdown(tcp::socket::shutdown_send, ec);
 }
 
-void Channel::close() {
+void TcpConnection::close() {
     closed_ = true;
     open_ = false;
     error_code ec;
     socket_.close(ec);
 }
 
-void Channel::fail() {
+void TcpConnection::fail() {
     if (closed_) return;
     const auto self = shared_from_this();
     close();
     ended();
 }
 
-}  // namespace weldstall
+}  // namespace gateway::net
--- a/src/net/channel.h
+++ b/src/net/transport/tcp_connection.h
@@ -1,4 +1,4 @@
-// One TCP connection: dialling, one read always pending, writes in order. The base of all others here.
+// One TCP connection: connecting, one read always pending, writes in order. The base of all others here.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -8,9 +8,9 @@
 #include <string>
 #include <string_view>
 
-#include "net/timers.h"
+#include "net/transport/timer_queue.h"
 
-namespace weldstall {
+namespace gateway::net {
 
 using boost::asio::ip::tcp;
 using boost::system::error_code;
@@ -24,19 +24,20 @@
     return length && *length > most;
 }
 
-// Frees a descriptor for a connection that is dialled where none is left; false: nothing can be spared.
-using MakeRoom = std::function<bool()>;
+// Frees a descriptor for a connection that is connected where none is left; false: nothing can be spared.
+using ReclaimDescriptor = std::function<bool()>;
 
-class Channel : public std::enable_shared_from_this<Channel> {
+class TcpConnection : public std::enable_shared_from_this<TcpConnection> {
 public:
-    virtual ~Channel() = default;
-    Channel(const Channel&) = delete;
-    Channel& operator=(const Channel&) = delete;
+    virtual ~TcpConnection() = default;
+    TcpConnection(const TcpConnection&) = delete;
+    TcpConnection& operator=(const TcpConnection&) = delete;
 
     // Reports opened(), or ended() when it is refused or does not come up within `limit`.
-    void dial(const tcp::endpoint& peer, TimerQueue& timers, Duration limit, const MakeRoom& makeRoom = {});
-    // The dialling failed here, for want of a descriptor, and tells nothing of the peer.
-    bool ownShortage() const { return ownShortage_; }
+    void connect(const tcp::endpoint& peer, TimerQueue& timers, Duration limit,
+                 const ReclaimDescriptor& reclaimDescriptor = {});
+    // The connecting failed here, for want of a descriptor, and tells nothing of the peer.
+    bool lacksDescriptor() const { return lacksDescriptor_; }
     // Bytes have come that were not taken in yet.
     bool hasInput() { return input_.size() > 0 || peek() == Peeked::bytes; }
     // Neither bytes nor the connection's end have come that were not taken in yet.
@@ -62,8 +63,8 @@
     bool allWritten() const { return output_.size() == outputAt_; }
 
 protected:
-    explicit Channel(boost::asio::io_context& io) : socket_(io) {}
-    explicit Channel(tcp::socket&& socket) : socket_(std::move(socket)) {}
+    explicit TcpConnection(boost::asio::io_context& io) : socket_(io) {}
+    explicit TcpConnection(tcp::socket&& socket) : socket_(std::move(socket)) {}
 
     virtual void opened() {}
     virtual void received() = 0;  // input() has grown
@@ -93,8 +94,8 @@
     std::string output_;
     std::size_t outputAt_ = 0;
     std::uint64_t written_ = 0;
-    bool ownShortage_ = false;
+    bool lacksDescriptor_ = false;
     bool open_ = false, closed_ = false, reading_ = false, writing_ = false, discarding_ = false;
 };
 
-}  // namespace weldstall
+}  // namespace gateway::net
--- a/src/net/timers.cpp
+++ b/src/net/transport/timer_queue.cpp
@@ -1,9 +1,9 @@
-#include "net/timers.h"
+#include "net/transport/timer_queue.h"
 
 #include <exception>
 #include <iostream>
 
-namespace weldstall {
+namespace gateway::net {
 namespace {
 
 constexpr auto kGrid = std::chrono::milliseconds(2);  // small beside the slack of every time limit
@@ -52,7 +52,7 @@
         try {
             run();
         } catch (const std::exception& e) {  // ends what threw; all other timers still have to be armed
-            std::cerr << "weldstall: timer: " << e.what() << '\n';
+            std::cerr << "gateway: timer: " << e.what() << '\n';
         }
     }
     dropCancelled();
@@ -60,4 +60,4 @@
     if (!entries_.empty()) arm();
 }
 
-}  // namespace weldstall
+}  // namespace gateway::net
--- a/src/net/timers.h
+++ b/src/net/transport/timer_queue.h
@@ -9,9 +9,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "net/clock.h"
+#include "net/transport/clock.h"
 
-namespace weldstall {
+namespace gateway::net {
 
 // Moments are rounded up to a grid, so that timers set together also fire together, and one that is no longer
 // wanted is taken back: each would be a wake-up of its own.
@@ -39,4 +39,4 @@
     Token next_ = 1;
 };
 
-}  // namespace weldstall
+}  // namespace gateway::net
--- a/src/net/worker_pool.cpp
+++ b/src/net/upstream/upstream_pool.cpp
@@ -1,4 +1,4 @@
-#include "net/worker_pool.h"
+#include "net/upstream/upstream_pool.h"
 
 #include <algorithm>
 #include <boost/beast/http/parser.hpp>
@@ -6,22 +6,19 @@
 #include <charconv>
 #include <cmath>
 
-namespace weldstall {
+namespace gateway::net {
 
 namespace http = boost::beast::http;
-using slipshift::Availability;
-using slipshift::LoadReport;
-using slipshift::Outcome;
 
 namespace {
 
-constexpr std::size_t kMostBody = 64 * 1024;
-constexpr std::uint32_t kMostHeader = 16 * 1024;
-constexpr double kMostFigure = 1e6;  // of a load report; more is none
-constexpr int kMostInterim = 8;      // 1xx answers ahead of one
+constexpr std::size_t kMaxBodyBytes = 64 * 1024;
+constexpr std::uint32_t kMaxHeaderBytes = 16 * 1024;
+constexpr double kMaxReportValue = 1e6;  // of a load report; more is none
+constexpr int kMaxInterimResponses = 8;  // 1xx answers ahead of one
 // An answer that has begun is whole by then, or it is spoilt: its head does not end, or announces more than
 // comes.
-constexpr Duration kMostAnswering = std::chrono::milliseconds(200);
+constexpr Duration kMaxResponseTime = std::chrono::milliseconds(200);
 constexpr double kIdleShare = 0.5;  // of the keep-alive time, after which an idle connection is closed here
 
 // A figure that can't be read whole is no report: one NaN would stay in the module's means for good.
@@ -31,7 +28,7 @@
     const char* end = text.data() + text.size();
     const auto parsed = std::from_chars(text.data(), end, value);
     if (text.empty() || parsed.ec != std::errc() || parsed.ptr != end) return std::nullopt;
-    if (!std::isfinite(value) || value < 0 || value > kMostFigure) return std::nullopt;
+    if (!std::isfinite(value) || value < 0 || value > kMaxReportValue) return std::nullopt;
     return value;
 }
 
@@ -65,20 +62,20 @@
 
 }  // namespace
 
-class WorkerConnection final : public Channel {
+class UpstreamConnection final : public TcpConnection {
 public:
-    WorkerConnection(boost::asio::io_context& io, WorkerPool& pool)
-        : Channel(io), pool_(pool), count_(pool.connections_) {
+    UpstreamConnection(boost::asio::io_context& io, UpstreamPool& pool)
+        : TcpConnection(io), pool_(pool), count_(pool.connections_) {
         ++*count_;
     }
-    ~WorkerConnection() override { --*count_; }
+    ~UpstreamConnection() override { --*count_; }
 
-    void carry(WorkerPool::Number attempt) {
+    void carry(UpstreamPool::Number attempt) {
         attempt_ = attempt;
         interim_ = 0;
         renew();
     }
-    WorkerPool::Number attempt() const { return attempt_; }
+    UpstreamPool::Number attempt() const { return attempt_; }
 
     // Told by the pool: what was written before this request, and how long it stands idle.
     std::uint64_t before = 0;
@@ -88,13 +85,15 @@
     void renew() {
         ++answer_;
         parser_.emplace();
-        parser_->body_limit(kMostBody);
-        parser_->header_limit(kMostHeader);
+        parser_->body_limit(kMaxBodyBytes);
+        parser_->header_limit(kMaxHeaderBytes);
         parser_->eager(true);
     }
     void opened() override { pool_.connected(attempt_); }
     void ended() override { pool_.broken(link()); }
-    WorkerPool::Link link() { return std::static_pointer_cast<WorkerConnection>(shared_from_this()); }
+    UpstreamPool::ConnectionPtr link() {
+        return std::static_pointer_cast<UpstreamConnection>(shared_from_this());
+    }
 
     void received() override {
         // Bytes that nobody asked for would be taken for the next request's answer.
@@ -104,7 +103,7 @@
             error_code ec;
             const std::size_t used = parser_->put(input().data(), ec);
             input().consume(used);
-            if (announcesMore(*parser_, kMostBody)) return brokenAnswer();
+            if (announcesMore(*parser_, kMaxBodyBytes)) return brokenAnswer();
             if (ec == http::error::need_more) return awaitRest();
             // Malformed, or of unknown length: an answer that ends with the connection may have been cut
             // short.
@@ -112,15 +111,15 @@
             if (!parser_->is_done()) return awaitRest();
             if (parser_->get().result_int() >= 200) return answered();
             // An interim answer; the real one follows, in its own time.
-            if (++interim_ > kMostInterim) return brokenAnswer();
+            if (++interim_ > kMaxInterimResponses) return brokenAnswer();
             renew();
         }
     }
 
     void awaitRest() {
         if (std::exchange(awaited_, answer_) == answer_) return;
-        pool_.timers_.after(kMostAnswering, [weak = weak_from_this(), answer = answer_] {
-            const auto self = std::static_pointer_cast<WorkerConnection>(weak.lock());
+        pool_.timers_.after(kMaxResponseTime, [weak = weak_from_this(), answer = answer_] {
+            const auto self = std::static_pointer_cast<UpstreamConnection>(weak.lock());
             if (self && self->isOpen() && self->answer_ == answer) self->brokenAnswer();
         });
     }
@@ -138,7 +137,7 @@
         result.report = readReport(message["Server-Load"]);
         result.meteredPercent = readFigure(message["X-Meter"]);
         if (status == 200) {
-            result.trueUnits = readFigure(message["X-Settled"]);
+            result.trueCost = readFigure(message["X-Settled"]);
             const auto type = message[http::field::content_type];
             result.contentType.assign(type.data(), type.size());
             result.body = std::move(message.body());
@@ -155,106 +154,108 @@
         pool_.broken(link());
     }
 
-    WorkerPool& pool_;
+    UpstreamPool& pool_;
     std::shared_ptr<std::size_t> count_;  // may outlive the pool in the loop's last handlers
-    WorkerPool::Number attempt_ = 0;
+    UpstreamPool::Number attempt_ = 0;
     std::uint64_t answer_ = 0;   // which one is in hand
     std::uint64_t awaited_ = 0;  // the one whose rest has a time limit
     int interim_ = 0;
     std::optional<http::response_parser<http::string_body>> parser_;
 };
 
-WorkerPool::WorkerPool(boost::asio::io_context& io, TimerQueue& timers, const Limits& limits, Hooks hooks)
+UpstreamPool::UpstreamPool(boost::asio::io_context& io, TimerQueue& timers, const Limits& limits, Hooks hooks)
     : io_(io), timers_(timers), limits_(limits), hooks_(std::move(hooks)) {}
-WorkerPool::~WorkerPool() = default;
+UpstreamPool::~UpstreamPool() = default;
 
-void WorkerPool::update(const TargetList& list) {
+void UpstreamPool::update(const EndpointList& list) {
     if (list.full) {  // what a full list lacks is gone
-        std::erase_if(workers_, [&](const auto& known) {
-            const bool named = std::any_of(list.targets.begin(), list.targets.end(),
-                                           [&](const Target& t) { return t.entry.worker == known.first; });
+        std::erase_if(endpoints_, [&](const auto& known) {
+            const bool named =
+                std::any_of(list.endpoints.begin(), list.endpoints.end(),
+                            [&](const ResolvedEndpoint& t) { return t.entry.endpoint == known.first; });
             if (!named) leave(*known.second);
             return !named;
         });
     }
-    for (const Target& t : list.targets) {
-        if (t.entry.availability == Availability::gone) {  // its attempts hold it as long as they last
-            if (const auto found = workers_.find(t.entry.worker); found != workers_.end()) {
+    for (const ResolvedEndpoint& t : list.endpoints) {
+        if (t.entry.availability == Availability::removed) {  // its attempts hold it as long as they last
+            if (const auto found = endpoints_.find(t.entry.endpoint); found != endpoints_.end()) {
                 leave(*found->second);
-                workers_.erase(found);
+                endpoints_.erase(found);
             }
             continue;
         }
-        auto& worker = workers_[t.entry.worker];
-        if (!worker) worker = std::make_shared<Worker>();
+        auto& endpoint = endpoints_[t.entry.endpoint];
+        if (!endpoint) endpoint = std::make_shared<Endpoint>();
         // A restarted process knows nothing of the connections of the one before, wherever it listens now.
-        if (t.entry.startedAt != worker->startedAt || t.address != worker->address) dropIdle(*worker);
+        if (t.entry.startedAt != endpoint->startedAt || t.address != endpoint->address) dropIdle(*endpoint);
         if (t.entry.availability == Availability::up) {
-            worker->leavingSince = Moment::max();
+            endpoint->leavingSince = Moment::max();
         } else {
-            leave(*worker);
+            leave(*endpoint);
         }
-        if (t.address.port() != 0) worker->address = t.address;
-        worker->startedAt = t.entry.startedAt;
+        if (t.address.port() != 0) endpoint->address = t.address;
+        endpoint->startedAt = t.entry.startedAt;
     }
 }
 
-void WorkerPool::leave(Worker& w) {
+void UpstreamPool::leave(Endpoint& w) {
     w.leavingSince = std::min(w.leavingSince, std::chrono::steady_clock::now());
     dropIdle(w);
 }
 
-// A send counts from its first byte: nothing new is written to a worker after the grace.
-bool WorkerPool::maySend(const Worker& w) const {
+// A send counts from its first byte: nothing new is written to an endpoint after the grace.
+bool UpstreamPool::maySend(const Endpoint& w) const {
     return w.leavingSince == Moment::max() ||
-           std::chrono::steady_clock::now() - w.leavingSince < limits_.drainGrace;
+           std::chrono::steady_clock::now() - w.leavingSince < limits_.drainGracePeriod;
 }
 
-void WorkerPool::start(Number number, const std::string& name, Duration timeout, Duration beginWithin,
-                       std::shared_ptr<const Forwarded> request) {
+void UpstreamPool::start(Number number, const std::string& name, Duration timeout, Duration beginWithin,
+                         std::shared_ptr<const Forwarded> request) {
     const Moment now = std::chrono::steady_clock::now();
-    const auto found = workers_.find(name);
-    attempts_[number] = {found == workers_.end() ? nullptr : found->second,
+    const auto found = endpoints_.find(name);
+    attempts_[number] = {found == endpoints_.end() ? nullptr : found->second,
                          std::move(request),
                          now,
                          now + timeout,
                          beginWithin > Duration::zero() ? now + beginWithin : Moment::max(),
                          nullptr};
     AttemptResult never;
-    if (found == workers_.end()) {
+    if (found == endpoints_.end()) {
         never.outcome = Outcome::notSent;
         return finish(number, std::move(never));
     }
-    Worker& w = *found->second;
+    Endpoint& w = *found->second;
     if (timeout <= Duration::zero() || !maySend(w)) {
         never.outcome = Outcome::notSent;
         return finish(number, std::move(never));
     }
     Attempt& a = attempts_[number];
     a.timer = timers_.after(timeout, [this, number] { expire(number); });
-    if (Link idle = checkOut(w)) {
+    if (ConnectionPtr idle = checkOut(w)) {
         a.link = std::move(idle);
         a.link->carry(number);
         return write(a);
     }
-    if (*connections_ >= limits_.connections && !makeRoom()) {  // our own shortage: the worker may be well
+    if (*connections_ >= limits_.connections &&
+        !reclaimDescriptor()) {  // our own shortage: the endpoint may be well
         never.outcome = Outcome::notSent;
         return finish(number, std::move(never));
     }
-    a.link = std::make_shared<WorkerConnection>(io_, *this);
+    a.link = std::make_shared<UpstreamConnection>(io_, *this);
     a.link->carry(number);
-    a.link->dial(w.address, timers_, limits_.dial > Duration::zero() ? limits_.dial : timeout,
-                 limits_.makeRoom);
+    a.link->connect(w.address, timers_, limits_.connect > Duration::zero() ? limits_.connect : timeout,
+                    limits_.reclaimDescriptor);
 }
 
-WorkerPool::Link WorkerPool::checkOut(Worker& w) {
+UpstreamPool::ConnectionPtr UpstreamPool::checkOut(Endpoint& w) {
     const Moment now = std::chrono::steady_clock::now();
     const Moment oldest = now - std::chrono::duration_cast<Duration>(limits_.keepAlive * kIdleShare);
     // Those that rest stand at the back.
     auto end = w.idle.end();
-    while (end != w.idle.begin() && now - (*std::prev(end))->idleSince < limits_.rest) --end;
+    while (end != w.idle.begin() && now - (*std::prev(end))->idleSince < limits_.reuseDelay) --end;
     while (end != w.idle.begin()) {
-        Link link = std::move(*--end);
+        ConnectionPtr link = std::move(*--end);
         end = w.idle.erase(end);
         // What has come unasked, or the connection's end, is not read yet where both came since the last
         // look.
@@ -264,25 +265,25 @@
     return nullptr;
 }
 
-void WorkerPool::dropIdle(Worker& w) {
-    for (const Link& link : w.idle) link->close();
+void UpstreamPool::dropIdle(Endpoint& w) {
+    for (const ConnectionPtr& link : w.idle) link->close();
     w.idle.clear();
 }
 
-// Bounds the connections over all workers: the one idle the longest gives way.
-bool WorkerPool::makeRoom() {
-    Worker* most = nullptr;
-    for (auto& [name, worker] : workers_)
-        if (!worker->idle.empty() &&
-            (most == nullptr || worker->idle.front()->idleSince < most->idle.front()->idleSince))
-            most = worker.get();
+// Bounds the connections over all endpoints: the one idle the longest gives way.
+bool UpstreamPool::reclaimDescriptor() {
+    Endpoint* most = nullptr;
+    for (auto& [name, endpoint] : endpoints_)
+        if (!endpoint->idle.empty() &&
+            (most == nullptr || endpoint->idle.front()->idleSince < most->idle.front()->idleSince))
+            most = endpoint.get();
     if (most == nullptr) return false;
     most->idle.front()->close();
     most->idle.erase(most->idle.begin());
     return true;
 }
 
-void WorkerPool::write(Attempt& a) {
+void UpstreamPool::write(Attempt& a) {
     const Forwarded& r = *a.request;
     const auto left =
         std::chrono::duration_cast<std::chrono::milliseconds>(a.until - std::chrono::steady_clock::now());
@@ -298,13 +299,13 @@
     a.link->send(text);
 }
 
-void WorkerPool::connected(Number number) {
+void UpstreamPool::connected(Number number) {
     if (!hooks_.wanted(number)) return cancel(number);
     const auto found = attempts_.find(number);
     if (found == attempts_.end()) return;
     Attempt& a = found->second;
-    Worker& w = *a.worker;
-    // Told while it was dialling that the worker leaves, or its time to begin went by meanwhile.
+    Endpoint& w = *a.endpoint;
+    // Told while it was connecting that the endpoint leaves, or its time to begin went by meanwhile.
     if (!maySend(w) || std::chrono::steady_clock::now() >= a.beginBy) {
         a.link->close();
         AttemptResult never;
@@ -314,11 +315,11 @@
     write(a);
 }
 
-void WorkerPool::answered(Number number, AttemptResult&& result, bool reusable) {
+void UpstreamPool::answered(Number number, AttemptResult&& result, bool reusable) {
     const auto found = attempts_.find(number);
     if (found == attempts_.end()) return;
-    const Link link = std::move(found->second.link);
-    Worker& w = *found->second.worker;
+    const ConnectionPtr link = std::move(found->second.link);
+    Endpoint& w = *found->second.endpoint;
     w.heardAt = std::chrono::steady_clock::now();
     if (reusable && w.leavingSince == Moment::max()) {
         link->idleSince = w.heardAt;
@@ -331,56 +332,56 @@
 }
 
 // An attempt whose last byte has not gone to the kernel can't have been begun; after that it may have run.
-bool WorkerPool::sentWhole(const WorkerConnection& link) {
+bool UpstreamPool::sentWhole(const UpstreamConnection& link) {
     return link.written() > link.before && link.allWritten();
 }
 
-void WorkerPool::broken(const Link& link) {
+void UpstreamPool::broken(const ConnectionPtr& link) {
     const Number number = link->attempt();
     if (number == 0) return discard(link);
     AttemptResult result;
-    // The end of a connection that stood idle, or a shortage here, tells nothing of whether the worker is
+    // The end of a connection that stood idle, or a shortage here, tells nothing of whether the endpoint is
     // well.
-    const bool ours = link->before > 0 || link->ownShortage();
+    const bool ours = link->before > 0 || link->lacksDescriptor();
     result.outcome = sentWhole(*link) ? Outcome::reset : ours ? Outcome::notSent : Outcome::connectFailed;
     finish(number, std::move(result));
 }
 
-void WorkerPool::discard(const Link& link) {
+void UpstreamPool::discard(const ConnectionPtr& link) {
     link->close();
-    for (auto& [name, worker] : workers_) std::erase(worker->idle, link);
+    for (auto& [name, endpoint] : endpoints_) std::erase(endpoint->idle, link);
 }
 
-void WorkerPool::expire(Number number) {
+void UpstreamPool::expire(Number number) {
     const auto found = attempts_.find(number);
     if (found == attempts_.end()) return;
-    const Link link = found->second.link;
+    const ConnectionPtr link = found->second.link;
     link->close();
     AttemptResult result;
     result.outcome = sentWhole(*link) ? Outcome::timedOut : Outcome::connectFailed;
     // A machine that was cut off says nothing and its connections stay open: where nothing at all was heard
-    // of it meanwhile, the idle ones go too, and the next attempt's dialling shows whether it is there.
-    Worker& w = *found->second.worker;
+    // of it meanwhile, the idle ones go too, and the next attempt's connecting shows whether it is there.
+    Endpoint& w = *found->second.endpoint;
     if (w.heardAt < found->second.began) dropIdle(w);
     finish(number, std::move(result));
 }
 
-void WorkerPool::cancel(Number number) {
+void UpstreamPool::cancel(Number number) {
     const auto found = attempts_.find(number);
     if (found == attempts_.end()) return;
-    const Link link = found->second.link;
+    const ConnectionPtr link = found->second.link;
     link->close();
     AttemptResult result;
     result.outcome = sentWhole(*link) ? Outcome::cancelled : Outcome::notSent;
     finish(number, std::move(result));
 }
 
-void WorkerPool::cancelUnsent(Number number) {
+void UpstreamPool::cancelUnsent(Number number) {
     const auto found = attempts_.find(number);
     if (found != attempts_.end() && !sentWhole(*found->second.link)) cancel(number);
 }
 
-void WorkerPool::finish(Number number, AttemptResult&& result) {
+void UpstreamPool::finish(Number number, AttemptResult&& result) {
     const auto found = attempts_.find(number);
     if (found == attempts_.end()) return;
     result.elapsed =
@@ -390,15 +391,15 @@
     hooks_.done(number, std::move(result));
 }
 
-// Guards against writing to a connection that its worker is just closing.
-void WorkerPool::sweep() {
+// Guards against writing to a connection that its endpoint is just closing.
+void UpstreamPool::sweep() {
     sweeping_ = false;
     const Moment oldest = std::chrono::steady_clock::now() -
                           std::chrono::duration_cast<Duration>(limits_.keepAlive * kIdleShare);
     bool any = false;
-    for (auto& [name, worker] : workers_) {
-        auto& idle = worker->idle;
-        std::erase_if(idle, [&](const Link& link) {
+    for (auto& [name, endpoint] : endpoints_) {
+        auto& idle = endpoint->idle;
+        std::erase_if(idle, [&](const ConnectionPtr& link) {
             if (link->isOpen() && link->idleSince > oldest) return false;
             link->close();
             return true;
@@ -408,4 +409,4 @@
     if (any && !std::exchange(sweeping_, true)) timers_.after(limits_.keepAlive / 8, [this] { sweep(); });
 }
 
-}  // namespace weldstall
+}  // namespace gateway::net
--- a/src/json_fields.h
+++ b/src/settings/json_fields.h
@@ -9,9 +9,9 @@
 #include <string>
 #include <utility>
 
-#include "slipshift/gatekeeper.h"
+#include "gateway/settings.h"
 
-namespace slipshift {
+namespace gateway {
 
 using json = nlohmann::json;
 
@@ -96,4 +96,4 @@
     std::string path_;
 };
 
-}  // namespace slipshift
+}  // namespace gateway
--- a/adapter/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,14 +1,14 @@
 #include <exception>
 #include <iostream>
 
-#include "wire.h"
+#include "simulator/simulator_wire.h"
 
 int main() {
     std::ios::sync_with_stdio(false);
     try {
-        slipshift::wire::serve(std::cin, std::cout);
+        gateway::simulator::serve(std::cin, std::cout);
     } catch (const std::exception& e) {
-        std::cerr << "slipshift_drill: " << e.what() << '\n';
+        std::cerr << "simulator_adapter: " << e.what() << '\n';
         return 1;
     }
     return 0;
--- a/adapter/wire.cpp
+++ b/src/simulator/simulator_wire.cpp
@@ -1,15 +1,15 @@
-#include "wire.h"
+#include "simulator/simulator_wire.h"
 
 #include <map>
 #include <nlohmann/json.hpp>
 #include <string>
 #include <utility>
 
-#include "json_fields.h"
-#include "settings_json.h"
-#include "slipshift/gatekeeper.h"
+#include "gateway/decision_engine.h"
+#include "settings/json_fields.h"
+#include "settings/settings_json.h"
 
-namespace slipshift::wire {
+namespace gateway::simulator {
 namespace {
 
 using json = nlohmann::json;
@@ -56,18 +56,18 @@
 }
 
 Event readList(const Fields& f) {
-    WorkerList list;
-    list.scope = f.choice<ListScope>("scope", {{"INCREMENTAL", ListScope::changes},
-                                               {"FULL", ListScope::full},
-                                               {"SAVED", ListScope::saved},
-                                               {"FAILED", ListScope::failed}});
+    EndpointUpdate list;
+    list.kind = f.choice<UpdateKind>("scope", {{"INCREMENTAL", UpdateKind::delta},
+                                               {"FULL", UpdateKind::snapshot},
+                                               {"SAVED", UpdateKind::cached},
+                                               {"FAILED", UpdateKind::failed}});
     if (f.find("items") == nullptr) return list;
     f.each("items", [&](const Fields& item) {
-        WorkerEntry e;
-        e.worker = item.text("worker");
+        EndpointEntry e;
+        e.endpoint = item.text("worker");
         e.availability = item.choice<Availability>(
             "availability",
-            {{"IN", Availability::up}, {"LAME", Availability::draining}, {"OUT", Availability::gone}});
+            {{"IN", Availability::up}, {"LAME", Availability::draining}, {"OUT", Availability::removed}});
         e.startedAt = item.seconds("cameUpS", 0);
         e.cell = item.integer("cohort", 0);
         e.kind = item.integer("model", 0);
@@ -83,9 +83,9 @@
     r.request = f.text("corr");
     r.requestClass = f.integer("priority", 0);
     r.plan = f.integer("contract", 0);
-    r.customer = f.find("account") != nullptr ? f.unsignedInteger("account") : 0;
+    r.tenant = f.find("account") != nullptr ? f.unsignedInteger("account") : 0;
     r.deadline = f.seconds("notAfterS");
-    r.units = f.number("units", 1);
+    r.cost = f.number("units", 1);
     r.entryPoints = f.integer("entryPoints", 1);
     r.isRetry = f.flag("isRetry");
     return r;
@@ -95,11 +95,11 @@
     AttemptEnded a;
     a.request = f.text("corr");
     a.attempt = f.integer("trial", 0);
-    a.worker = f.text("worker");
+    a.endpoint = f.text("worker");
     a.outcome = readOutcome(f);
     a.elapsed = f.seconds("waitTimeS", 0);
     a.closed = f.flag("last");
-    if (const double billed = f.number("billed", 0); billed > 0) a.trueUnits = billed;
+    if (const double billed = f.number("billed", 0); billed > 0) a.trueCost = billed;
     if (const double metered = f.number("metered", 0); metered > 0) a.meteredPercent = metered - 1;
     a.report = readReport(f);
     return a;
@@ -112,13 +112,14 @@
     if (name == "streaming")
         return StreamStarted{f.text("corr"), f.integer("trial", 0), f.text("worker"),
                              f.seconds("waitTimeS", 0)};
-    if (name == "lapsed") return RequestGone{f.text("corr")};
+    if (name == "lapsed") return ClientDisconnected{f.text("corr")};
     if (name == "pingResult")
-        return ProbeEnded{f.text("worker"), readOutcome(f), f.seconds("waitTimeS", 0), readReport(f)};
+        return HealthCheckCompleted{f.text("worker"), readOutcome(f), f.seconds("waitTimeS", 0),
+                                    readReport(f)};
     if (name == "added")
-        return CountAnswered{f.text("counter"), readOutcome(f), f.number("total", 0),
-                             f.seconds("waitTimeS", 0)};
-    if (name == "memo") return PeerMessage{f.integer("author", 0), unhex(f, "octets")};
+        return CounterReplied{f.text("counter"), readOutcome(f), f.number("total", 0),
+                              f.seconds("waitTimeS", 0)};
+    if (name == "memo") return GossipMessage{f.integer("author", 0), unhex(f, "octets")};
     if (name == "bell") {
         const std::string& ref = f.text("ref");
         if (ref.empty() || ref.size() > 18 || ref.find_first_not_of("0123456789") != std::string::npos)
@@ -128,37 +129,37 @@
     f.complain("", "unknown message");
 }
 
-json writeAction(int gatekeeper, const Action& action) {
+json writeAction(int gateway, const Action& action) {
     const auto line = [&](const char* name, json fields) {
-        fields["gatekeeper"] = gatekeeper;
+        fields["gatekeeper"] = gateway;
         return json{{name, std::move(fields)}};
     };
     struct Writer {
         decltype(line)& out;
         json operator()(const SendAttempt& a) const {
-            json fields{{"corr", a.request}, {"worker", a.worker}};
+            json fields{{"corr", a.request}, {"worker", a.endpoint}};
             if (a.timeout != Duration::zero()) fields["capS"] = toSeconds(a.timeout);
             return out("send", fields);
         }
         json operator()(const CancelAttempt& a) const {
             return out("retract", {{"corr", a.request}, {"trial", a.attempt}});
         }
-        json operator()(const Refuse& a) const {
+        json operator()(const RejectRequest& a) const {
             json fields{{"corr", a.request}};
             if (a.retryAfter > Duration::zero()) fields["retryInS"] = toSeconds(a.retryAfter);
             return out("pushBack", fields);
         }
-        json operator()(const Fail& a) const { return out("respondError", {{"corr", a.request}}); }
-        json operator()(const AddToCount& a) const {
+        json operator()(const FailRequest& a) const { return out("respondError", {{"corr", a.request}}); }
+        json operator()(const AddToCounter& a) const {
             return out("postAmount",
                        {{"counter", a.name}, {"n", a.amount}, {"forgetAfterS", toSeconds(a.keepFor)}});
         }
-        json operator()(const ProbeWorker& a) const { return out("soundOut", {{"worker", a.worker}}); }
+        json operator()(const SendHealthCheck& a) const { return out("soundOut", {{"worker", a.endpoint}}); }
         json operator()(const SetTimer& a) const {
             return out("sleep", {{"ref", std::to_string(a.timer)}, {"afterS", toSeconds(a.after)}});
         }
-        json operator()(const SubscribeList&) const { return out("track", {{"active", true}}); }
-        json operator()(const FetchList&) const { return out("pull", json::object()); }
+        json operator()(const WatchEndpoints&) const { return out("track", {{"active", true}}); }
+        json operator()(const PollEndpoints&) const { return out("pull", json::object()); }
         json operator()(const LogLine& a) const { return out("trace", {{"what", a.text}}); }
     };
     return std::visit(Writer{line}, action);
@@ -193,21 +194,21 @@
             reply_.clear();
             return true;
         }
-        const int gatekeeper = f.integer("gatekeeper");
+        const int gateway = f.integer("gatekeeper");
         if (name == "enlist") {
-            enlist(gatekeeper, f);
+            enlist(gateway, f);
             return false;
         }
-        const auto it = gatekeepers_.find(gatekeeper);
-        if (it == gatekeepers_.end())
-            f.complain("gatekeeper", "number " + std::to_string(gatekeeper) + " was never enlisted");
+        const auto it = engines_.find(gateway);
+        if (it == engines_.end())
+            f.complain("gatekeeper", "number " + std::to_string(gateway) + " was never enlisted");
         if (name == "shutdown") {
-            gatekeepers_.erase(it);
+            engines_.erase(it);
             return false;
         }
         const Event event = readEvent(name, f);
         if (const auto* request = std::get_if<RequestArrived>(&event)) {
-            const auto& limits = limits_[gatekeeper];
+            const auto& limits = limits_[gateway];
             if (request->requestClass < 0 || request->requestClass >= limits.first)
                 f.complain("priority", "no such class");
             if (request->plan < 0 || (limits.second > 0 && request->plan >= limits.second))
@@ -215,21 +216,21 @@
         }
         actions_.clear();
         it->second.handle(now_, event, actions_);
-        for (const Action& action : actions_) (reply_ += writeAction(gatekeeper, action).dump()) += '\n';
+        for (const Action& action : actions_) (reply_ += writeAction(gateway, action).dump()) += '\n';
         return false;
     }
     bool open() const { return open_; }
 
 private:
-    void enlist(int gatekeeper, const Fields& f) {
+    void enlist(int gateway, const Fields& f) {
         const Settings settings = readSettings(f.object("info"));
-        if (const auto problem = problemWith(settings)) f.complain("info", *problem);
-        limits_[gatekeeper] = {static_cast<int>(settings.classes.size()),
-                               static_cast<int>(settings.plans.size())};
-        gatekeepers_.insert_or_assign(gatekeeper, Gatekeeper(settings, f.unsignedInteger("randomSeed")));
+        if (const auto problem = findSettingsProblem(settings)) f.complain("info", *problem);
+        limits_[gateway] = {static_cast<int>(settings.classes.size()),
+                            static_cast<int>(settings.plans.size())};
+        engines_.insert_or_assign(gateway, DecisionEngine(settings, f.unsignedInteger("randomSeed")));
     }
 
-    std::map<int, Gatekeeper> gatekeepers_;
+    std::map<int, DecisionEngine> engines_;
     std::map<int, std::pair<int, int>> limits_;  // classes and plans that each was told of
     Time now_{};
     bool open_ = false;
@@ -255,4 +256,4 @@
     if (server.open()) throw WireError("the input ended inside a batch");
 }
 
-}  // namespace slipshift::wire
+}  // namespace gateway::simulator
--- a/adapter/wire.h
+++ b/src/simulator/simulator_wire.h
@@ -4,9 +4,9 @@
 #include <istream>
 #include <ostream>
 
-#include "json_fields.h"
+#include "settings/json_fields.h"
 
-namespace slipshift::wire {
+namespace gateway::simulator {
 
 // A line that cannot be read; the text says what is wrong and where.
 using WireError = FieldError;
@@ -14,4 +14,4 @@
 // Answers batches until the input ends. Throws WireError at the first malformed line.
 void serve(std::istream& in, std::ostream& out);
 
-}  // namespace slipshift::wire
+}  // namespace gateway::simulator
--- a/tests/leaving_test.cpp
+++ b/tests/client_disconnect_test.cpp
@@ -1,16 +1,16 @@
 // Clients that leave: no attempt of theirs, first or further, begins after that. Each moment is forced: what
-// crosses the leaving is found together with it by a gatekeeper that was stopped meanwhile. What the kernel
+// crosses the leaving is found together with it by a gateway that was stopped meanwhile. What the kernel
 // tells first is also handled first, so what would begin an attempt comes before the leaving, and a request
-// of another client that is sent after that shows at the records servers what was begun before it.
+// of another client that is sent after that shows at the endpoints what was begun before it.
 #include <gtest/gtest.h>
 
 #include <fstream>
 #include <functional>
 #include <sstream>
 
-#include "gate.h"
+#include "support/gateway_process.h"
 
-namespace weldstall::test {
+namespace gateway::net::test {
 namespace {
 
 struct Manner {
@@ -38,21 +38,21 @@
     return text.replace(text.find("team"), 4, "free");
 }
 
-void answerReadiness(const Gate& gate) {  // what came before is handled once this is answered
+void answerReadiness(const GatewayProcess& gate) {  // what came before is handled once this is answered
     Socket probe = gate.client();
     probe.write("GET /-/ready HTTP/1.1\r\n\r\n");
     probe.message();
 }
 
 // A client that stays is served next: nothing was begun before it, on new connections or on `links`.
-void expectOnlyTheOther(const Gate& gate, std::vector<Server*> servers, std::vector<Socket*> links,
+void expectOnlyTheOther(const GatewayProcess& gate, std::vector<Server*> servers, std::vector<Socket*> links,
                         const std::string& note) {
     Socket other = gate.client();
     other.write(ofFree(request("spend", "other", 100'000, "x")));
     std::vector<pollfd> polls;
     for (Socket* link : links) polls.push_back({link->fd(), POLLIN, 0});
     for (Server* server : servers) polls.push_back({server->fd(), POLLIN, 0});
-    ASSERT_GT(::poll(polls.data(), polls.size(), kPatienceMs), 0) << note;
+    ASSERT_GT(::poll(polls.data(), polls.size(), kTestTimeoutMs), 0) << note;
     Socket accepted;
     Socket* at = nullptr;
     for (std::size_t i = 0; i < polls.size(); ++i) {
@@ -70,10 +70,10 @@
 }
 
 // Serves one request and leaves the connection that carried it idle.
-Socket idleLink(const Gate& gate, Server& worker) {
+Socket idleLink(const GatewayProcess& gate, Server& endpoint) {
     Socket client = gate.client();
     client.write(ofFree(request("load", "first", 100'000)));
-    Socket link = worker.accept();
+    Socket link = endpoint.accept();
     link.message();
     link.write(ok("x"));
     client.message();
@@ -84,16 +84,16 @@
 
 class LeavingCounter : public testing::Test {
 protected:
-    LeavingCounter() { customerId = customerOfAYoungSlice(); }
-    ~LeavingCounter() override { customerId = usual; }
-    const std::string usual = customerId;
+    LeavingCounter() { tenantId = customerOfAYoungSlice(); }
+    ~LeavingCounter() override { tenantId = usual; }
+    const std::string usual = tenantId;
 };
 
 TEST_F(LeavingCounter, WhoLeavesInWhateverMannerWhileItIsAskedIsNotSentOnAndItsChargeGoesBack) {
     for (const Manner& manner : kManners) {
-        Server worker, counter;
-        Gate gate(Targets{target("w", worker)}, counted(),
-                  [&](json& c) { c["counter"] = counter.address(); });
+        Server endpoint, counter;
+        GatewayProcess gate(Targets{target("w", endpoint)}, counted(),
+                            [&](json& c) { c["counter"] = counter.address(); });
         Socket client = gate.client();
         client.write(request("spend", "gone", 100'000, "x"));
         Socket at = counter.accept();
@@ -101,16 +101,16 @@
         manner.leave(client);
         EXPECT_TRUE(has(at.message(), "?add=-1&")) << manner.name;
         at.write(ok("2") + ok("1"));
-        expectOnlyTheOther(gate, {&worker}, {}, manner.name);
+        expectOnlyTheOther(gate, {&endpoint}, {}, manner.name);
     }
 }
 
 TEST_F(LeavingCounter, WhoLeavesAsItsAnswerComesIsNotSentOnAndItsChargeGoesBack) {
     for (const Manner& manner : kManners) {
-        Server worker, counter;
-        Gate gate(Targets{target("w", worker)}, counted(),
-                  [&](json& c) { c["counter"] = counter.address(); });
-        Socket link = idleLink(gate, worker);
+        Server endpoint, counter;
+        GatewayProcess gate(Targets{target("w", endpoint)}, counted(),
+                            [&](json& c) { c["counter"] = counter.address(); });
+        Socket link = idleLink(gate, endpoint);
         Socket client = gate.client();
         client.write(request("spend", "gone", 100'000, "x"));
         Socket at = counter.accept();
@@ -120,7 +120,7 @@
             manner.leave(client);
         });
         EXPECT_TRUE(has(at.message(), "?add=-1&")) << manner.name;  // with the next settlement
-        expectOnlyTheOther(gate, {&worker}, {&link}, manner.name);
+        expectOnlyTheOther(gate, {&endpoint}, {&link}, manner.name);
     }
 }
 
@@ -129,11 +129,12 @@
 TEST_F(LeavingCounter, WhoLeavesAsTheWaitForItRunsOutIsNotSentOn) {
     for (double wait = 1;; wait *= 3) {
         ASSERT_LT(wait, 30);
-        Server worker, counter;
+        Server endpoint, counter;
         json s = counted();
         for (json& c : s["classes"]) c["aimS"] = 10 * wait;
-        Gate gate(Targets{target("w", worker)}, s, [&](json& c) { c["counter"] = counter.address(); });
-        Socket link = idleLink(gate, worker);
+        GatewayProcess gate(Targets{target("w", endpoint)}, s,
+                            [&](json& c) { c["counter"] = counter.address(); });
+        Socket link = idleLink(gate, endpoint);
         Socket client = gate.client();
         client.write(request("spend", "gone", 100'000, "x"));
         Socket at = counter.accept();
@@ -145,7 +146,7 @@
             client.close();
         });
         if (early) continue;
-        expectOnlyTheOther(gate, {&worker}, {&link}, "timer");
+        expectOnlyTheOther(gate, {&endpoint}, {&link}, "timer");
         return;
     }
 }
@@ -154,25 +155,25 @@
 
 TEST(LeavingAtOnce, ARequestThatIsFoundTogetherWithItsClientsEndIsNotSentOn) {
     for (const Manner& manner : kManners) {
-        Server worker;
-        Gate gate(Targets{target("w", worker)}, patient());
-        Socket link = idleLink(gate, worker);
+        Server endpoint;
+        GatewayProcess gate(Targets{target("w", endpoint)}, patient());
+        Socket link = idleLink(gate, endpoint);
         Socket client = gate.client();
         answerReadiness(gate);  // the client is taken in by then
         gate.whileStopped([&] {
             client.write(ofFree(request("spend", "gone", 100'000, "x")));
             manner.leave(client);
         });
-        expectOnlyTheOther(gate, {&worker}, {&link}, manner.name);
+        expectOnlyTheOther(gate, {&endpoint}, {&link}, manner.name);
     }
 }
 
 // What it sent ahead is not read yet and stands in front of its end.
 TEST(LeavingAtOnce, NorOneBehindWhichMoreWasSentAhead) {
     for (const Manner& manner : kManners) {
-        Server worker;
-        Gate gate(Targets{target("w", worker)}, patient());
-        Socket link = idleLink(gate, worker);
+        Server endpoint;
+        GatewayProcess gate(Targets{target("w", endpoint)}, patient());
+        Socket link = idleLink(gate, endpoint);
         Socket client = gate.client();
         answerReadiness(gate);
         gate.whileStopped([&] {
@@ -180,15 +181,15 @@
                          ofFree(request("spend", "behind", 100'000, std::string(30'000, 'x'))));
             manner.leave(client);
         });
-        expectOnlyTheOther(gate, {&worker}, {&link}, manner.name);
+        expectOnlyTheOther(gate, {&endpoint}, {&link}, manner.name);
     }
 }
 
 // The same bytes from one that stays: both are served, in order.
 TEST(LeavingAtOnce, OneThatSentMuchAheadAndStaysIsServed) {
-    Server worker;
-    Gate gate(Targets{target("w", worker)}, patient());
-    Socket link = idleLink(gate, worker);
+    Server endpoint;
+    GatewayProcess gate(Targets{target("w", endpoint)}, patient());
+    Socket link = idleLink(gate, endpoint);
     Socket client = gate.client();
     answerReadiness(gate);
     gate.whileStopped([&] {
@@ -205,42 +206,42 @@
 TEST(LeavingAtOnce, WhatAClientThatLeftHadSentAheadNeverBegins) {
     for (const Manner& manner : kManners) {
         for (const bool stopped : {false, true}) {
-            Server worker;
-            Gate gate(Targets{target("w", worker)}, patient());
+            Server endpoint;
+            GatewayProcess gate(Targets{target("w", endpoint)}, patient());
             Socket client = gate.client();
             client.write(ofFree(request("spend", "r1", 100'000, "x")) +
                          ofFree(request("spend", "r2", 100'000, "x")));
-            Socket link = worker.accept();
+            Socket link = endpoint.accept();
             EXPECT_TRUE(has(link.message(), "Request-Id: r1"));
             if (stopped) {  // its first one is answered just then
                 gate.whileStopped([&] {
                     link.write(ok("x"));
                     manner.leave(client);
                 });
-                expectOnlyTheOther(gate, {&worker}, {&link}, manner.name);
+                expectOnlyTheOther(gate, {&endpoint}, {&link}, manner.name);
             } else {
                 manner.leave(client);
                 EXPECT_TRUE(link.atEnd()) << manner.name;  // called off
-                expectOnlyTheOther(gate, {&worker}, {}, manner.name);
+                expectOnlyTheOther(gate, {&endpoint}, {}, manner.name);
             }
         }
     }
 }
 
-// ---- While its connection to a records server comes up
+// ---- While its connection to an endpoint comes up
 // -----------------------------------------------------
 
 TEST(LeavingDial, WhoLeavesAsTheConnectionComesUpIsNotSentOn) {
-    for (const bool mayCancel : {true, false}) {
+    for (const bool cancellationAllowed : {true, false}) {
         for (const Manner& manner : kManners) {
             Server full(0);  // its queue takes one connection; the next comes up once that is accepted
             Socket plug = connectTo(full.port);
             json s = patient();
-            s["allowed"]["cancel"] = mayCancel;
-            Gate gate(Targets{target("w", full)}, s);
+            s["allowed"]["cancel"] = cancellationAllowed;
+            GatewayProcess gate(Targets{target("w", full)}, s);
             Socket client = gate.client();
             client.write(ofFree(request("spend", "gone", 100'000, "x")));
-            answerReadiness(gate);  // it is dialled for by then
+            answerReadiness(gate);  // it is connected for by then
             Socket link;
             gate.whileStopped([&] {
                 full.accept();
@@ -268,11 +269,11 @@
         for (const Manner& manner : kManners) {
             const std::string note = std::string(what) + ", " + manner.name;
             Server a, b;
-            Gate gate(Targets{target("a", a), target("b", b)}, patient());
+            GatewayProcess gate(Targets{target("a", a), target("b", b)}, patient());
             Socket client = gate.client();
             client.write(ofFree(request("load", "gone", 100'000)));
             pollfd both[] = {{a.fd(), POLLIN, 0}, {b.fd(), POLLIN, 0}};
-            ASSERT_GT(::poll(both, 2, kPatienceMs), 0);
+            ASSERT_GT(::poll(both, 2, kTestTimeoutMs), 0);
             Socket link = (both[0].revents != 0 ? a : b).accept();
             link.message();
             gate.whileStopped([&, &fail = fail] {
@@ -302,31 +303,31 @@
 
 TEST(LeavingRetry, WhoLeavesAsItsConnectionIsRefusedHasNoFurtherAttempt) {
     for (const Manner& manner : kManners) {
-        Gate gate(Targets{}, patient());
+        GatewayProcess gate(Targets{}, patient());
         Socket watch = gate.discovery.accept();
         watch.message();
-        const auto tell = [&](int index, const json& listed) {
+        const auto dispatch = [&](int index, const json& onEndpointUpdate) {
             watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
-                        listLine(index, false, {listed}));
+                        listLine(index, false, {onEndpointUpdate}));
             watch.close();
             watch = gate.discovery.accept();  // the list is in force by then
             EXPECT_TRUE(has(watch.message(), "since=" + std::to_string(index) + " "));
         };
-        // Made after the gatekeeper's process, which would hold its descriptor open otherwise.
-        Server full(0), worker;
+        // Made after the gateway's process, which would hold its descriptor open otherwise.
+        Server full(0), endpoint;
         Socket plug = connectTo(full.port);
-        tell(42, target("w", full));
+        dispatch(42, target("w", full));
         Socket client = gate.client();
         client.write(ofFree(request("spend", "gone", 100'000, "x")));
         answerReadiness(gate);
         ASSERT_TRUE(isDialled(full.port));
-        tell(43, target("v", worker));  // somewhere to go to
+        dispatch(43, target("v", endpoint));  // somewhere to go to
         gate.whileStopped([&] {
             full.close();
             while (isDialled(full.port)) ::poll(nullptr, 0, 1);  // the kernel tries again after about 1 s
             manner.leave(client);
         });
-        expectOnlyTheOther(gate, {&worker}, {}, manner.name);
+        expectOnlyTheOther(gate, {&endpoint}, {}, manner.name);
     }
 }
 
@@ -337,11 +338,11 @@
             Server a, b;
             json s = patient();
             s["allowed"]["cancel"] = false;
-            Gate gate(Targets{target("a", a), target("b", b)}, s);
+            GatewayProcess gate(Targets{target("a", a), target("b", b)}, s);
             Socket client = gate.client();
             client.write(ofFree(request("load", "gone", 100'000)));
             pollfd both[] = {{a.fd(), POLLIN, 0}, {b.fd(), POLLIN, 0}};
-            ASSERT_GT(::poll(both, 2, kPatienceMs), 0);
+            ASSERT_GT(::poll(both, 2, kTestTimeoutMs), 0);
             Socket link = (both[0].revents != 0 ? a : b).accept();
             link.message();
             manner.leave(client);
@@ -360,4 +361,4 @@
 }
 
 }  // namespace
-}  // namespace weldstall::test
+}  // namespace gateway::net::test
--- a/tests/standing_test.cpp
+++ b/tests/connection_lifecycle_test.cpp
@@ -2,9 +2,9 @@
 // late, windows for repeats, answers without a length, floods.
 #include <gtest/gtest.h>
 
-#include "gate.h"
+#include "support/gateway_process.h"
 
-namespace weldstall::test {
+namespace gateway::net::test {
 namespace {
 
 json patient() {
@@ -29,11 +29,11 @@
 // ---- Requests sent ahead -------------------------------------------------------------------------------
 
 TEST(StandingAhead, TheTimeOfARequestCountsFromWhenItCameNotFromTheAnswerBeforeIt) {
-    Server worker;
-    Gate gate(Targets{target("w", worker)}, patient());
+    Server endpoint;
+    GatewayProcess gate(Targets{target("w", endpoint)}, patient());
     Socket client = gate.client();
     client.write(request("load", "r1", 100'000) + request("load", "r2", 100'000));
-    Socket link = worker.accept();
+    Socket link = endpoint.accept();
     EXPECT_TRUE(has(link.message(), "Request-Id: r1"));
     ::poll(nullptr, 0, 600);
     client.write(request("load", "r3", 100'000));
@@ -51,11 +51,11 @@
 
 // By then the read of more was begun, and what was sent ahead has been taken out of the buffer.
 TEST(StandingAhead, WhatFollowsRequestsSentAheadIsReadAsItCame) {
-    Server worker;
-    Gate gate(Targets{target("w", worker)}, patient());
+    Server endpoint;
+    GatewayProcess gate(Targets{target("w", endpoint)}, patient());
     Socket client = gate.client();
     client.write(request("spend", "r1", 100'000, "x") + request("spend", "r2", 100'000, "x"));
-    Socket link = worker.accept();
+    Socket link = endpoint.accept();
     for (const char* id : {"r1", "r2", "r3", "r4"}) {
         const std::string got = link.message();
         EXPECT_TRUE(has(got, std::string("Request-Id: ") + id + "\r\n")) << id << ": " << got;
@@ -67,13 +67,13 @@
 }
 
 TEST(StandingAhead, HundredsAtOnceAreAnsweredInOrder) {
-    Server worker;
-    Gate gate(Targets{target("w", worker)}, patient());
+    Server endpoint;
+    GatewayProcess gate(Targets{target("w", endpoint)}, patient());
     Socket client = gate.client();
     std::string all;
     for (int i = 0; i < 200; ++i) all += ofFree(request("load", "r" + std::to_string(i), 100'000));
     client.write(all);
-    Socket link = worker.accept();
+    Socket link = endpoint.accept();
     for (int i = 0; i < 200; ++i) {
         EXPECT_TRUE(has(link.message(), "Request-Id: r" + std::to_string(i) + "\r\n"));
         link.write(ok(std::to_string(i)));
@@ -84,13 +84,13 @@
 
 // More than is kept for one connection: what has been taken in is answered, and then it ends.
 TEST(StandingAhead, OfMoreThanIsKeptWhatWasTakenInIsAnswered) {
-    Server worker;
-    Gate gate(Targets{target("w", worker)}, patient());
+    Server endpoint;
+    GatewayProcess gate(Targets{target("w", endpoint)}, patient());
     Socket client = gate.client();
-    // Far more than the kernel holds: once it is written the gatekeeper has read past what it keeps.
+    // Far more than the kernel holds: once it is written the gateway has read past what it keeps.
     for (int i = 0; i < 1000; ++i)
         client.write(request("spend", "r" + std::to_string(i), 100'000, std::string(30'000, 'x')));
-    Socket link = worker.accept();
+    Socket link = endpoint.accept();
     EXPECT_TRUE(has(link.message(), "Request-Id: r0\r\n"));
     int answered = 0;
     for (;; ++answered) {
@@ -99,7 +99,7 @@
         if (!answer) break;
         EXPECT_EQ(bodyOf(*answer), std::to_string(answered));
         pollfd either[2] = {{link.fd(), POLLIN, 0}, {client.fd(), POLLIN, 0}};
-        ASSERT_GT(::poll(either, 2, kPatienceMs), 0);
+        ASSERT_GT(::poll(either, 2, kTestTimeoutMs), 0);
         if (either[0].revents == 0) {
             ++answered;
             break;
@@ -111,12 +111,12 @@
 }
 
 TEST(StandingAhead, WhatWasTakenInBeforeAShutdownIsAnsweredBeforeTheConnectionEnds) {
-    Server worker;
-    Gate gate(Targets{target("w", worker)}, patient());
+    Server endpoint;
+    GatewayProcess gate(Targets{target("w", endpoint)}, patient());
     Socket client = gate.client(), probe = gate.client();
     client.write(request("spend", "r0", 100'000, "x") + request("spend", "r1", 100'000, "x") +
                  request("spend", "r2", 100'000, "x"));
-    Socket link = worker.accept();
+    Socket link = endpoint.accept();
     EXPECT_TRUE(has(link.message(), "Request-Id: r0\r\n"));
     gate.terminate();
     while (readiness(probe) == 200)
@@ -138,8 +138,8 @@
 
 // Much that can't be read, and then a close or a reset: others are served on.
 TEST(StandingAhead, AFloodOfNoiseThatGoesCostsNobodyElse) {
-    Server worker;
-    Gate gate(Targets{target("w", worker)}, patient());
+    Server endpoint;
+    GatewayProcess gate(Targets{target("w", endpoint)}, patient());
     const std::string noise(2'000'000, '\n');
     for (int i = 0; i < 6; ++i) {
         Socket bad = gate.client();
@@ -151,11 +151,11 @@
     }
     Socket client = gate.client();
     client.write(request("load", "r", 100'000));
-    Socket link = worker.accept();
+    Socket link = endpoint.accept();
     link.message();
     link.write(ok("served"));
     EXPECT_EQ(bodyOf(client.message()), "served");
-    EXPECT_FALSE(worker.waitReadable(0));
+    EXPECT_FALSE(endpoint.waitReadable(0));
 }
 
 // ---- Bytes that come as a connection is shut or closed --------------------------------------------------
@@ -163,8 +163,8 @@
 // Found together with SIGTERM, a request on a resting connection is answered; what comes behind the end of
 // sending is not sent on, whether that end followed an answer or a rest.
 TEST(StandingShutdown, ARequestThatComesWithTheSignalIsAnsweredAndOneBehindTheEndIsNotSentOn) {
-    Server worker;
-    Gate gate(Targets{target("w", worker)}, patient(), [](json& c) {
+    Server endpoint;
+    GatewayProcess gate(Targets{target("w", endpoint)}, patient(), [](json& c) {
         c["stillListenMs"] = 3600'000;
         c["idleStaysMs"] = 1;
     });
@@ -175,7 +175,7 @@
         used.write(request("spend", "with", 100'000, "x"));
         gate.terminate();
     });
-    Socket link = worker.accept();
+    Socket link = endpoint.accept();
     EXPECT_TRUE(has(link.message(), "Request-Id: with\r\n"));
     EXPECT_TRUE(resting.atEnd());
     link.write(ok("served"));
@@ -194,18 +194,18 @@
     EXPECT_TRUE(has(link.message(), "Request-Id: other\r\n"));
     link.write(ok("served"));
     EXPECT_EQ(statusOf(other.message()), 200);
-    EXPECT_FALSE(worker.waitReadable(0));
+    EXPECT_FALSE(endpoint.waitReadable(0));
 }
 
 // A last answer is not overtaken by a reset, however much comes that nobody reads any more.
 TEST(StandingShutdown, ALastAnswerArrivesWholeThoughItsClientSendsOn) {
-    Server worker;
-    Gate gate(Targets{target("w", worker)}, patient());
+    Server endpoint;
+    GatewayProcess gate(Targets{target("w", endpoint)}, patient());
     Socket client = gate.client();
     std::string last = request("spend", "r", 100'000, "x");
     last.insert(last.find("\r\n") + 2, "Connection: close\r\n");
     client.write(last);
-    Socket link = worker.accept();
+    Socket link = endpoint.accept();
     link.message();
     const std::string body(60'000, 'b');
     gate.whileStopped([&] {
@@ -215,14 +215,14 @@
     EXPECT_TRUE(bodyOf(client.message()) == body);
 }
 
-// Half a line, or more than one answer, comes from a records server as its connection is given up.
+// Half a line, or more than one answer, comes from an endpoint as its connection is given up.
 TEST(StandingShutdown, WhatARecordsServerSaysAsItsConnectionIsClosedIsNobodysAnswer) {
     for (const std::string& said : {std::string("HTTP/1.1 200 O"), ok("late")}) {
-        Server worker;
-        Gate gate(Targets{target("w", worker)}, patient());
+        Server endpoint;
+        GatewayProcess gate(Targets{target("w", endpoint)}, patient());
         Socket client = gate.client();
         client.write(request("spend", "gone", 100'000, "x"));
-        Socket link = worker.accept();
+        Socket link = endpoint.accept();
         link.message();
         gate.whileStopped([&] {
             client.close();
@@ -232,7 +232,7 @@
         }
         Socket other = gate.client();
         other.write(request("spend", "other", 100'000, "x"));
-        Socket next = worker.accept();
+        Socket next = endpoint.accept();
         EXPECT_TRUE(has(next.message(), "Request-Id: other\r\n"));
         next.write(ok("its own"));
         EXPECT_EQ(bodyOf(other.message()), "its own");
@@ -246,7 +246,7 @@
     explicit Late(json s) : gate(Targets{target("a", a)}, std::move(s)), watch(gate.discovery.accept()) {
         watch.message();
     }
-    // Sends `text` and ends its first attempt with `failing`; false where no further one is dialled for.
+    // Sends `text` and ends its first attempt with `failing`; false where no further one is connected for.
     template <class Failing>
     bool begin(const std::string& text, Failing&& failing) {
         client.write(text);
@@ -270,7 +270,7 @@
 
     Server a, full{0};  // full's queue takes one connection; the next comes up once that is accepted
     Socket plug = connectTo(full.port);
-    Gate gate;
+    GatewayProcess gate;
     Socket watch;
     Socket client = gate.client();
 };
@@ -289,21 +289,22 @@
 
 // Where the machine was so slow that the window was over before the further attempt, it is made longer.
 TEST(StandingLate, AKeyedOneWhoseConnectionComesUpAfterTheWindowIsNotWritten) {
-    for (const char* group : {"all", "zone", "cell"}) {
+    for (const char* deduplicationScope : {"all", "zone", "cell"}) {
         for (double window = 1;; window *= 3) {
             ASSERT_LT(window, 30);
             json s = patient();
             s["classes"][1]["windowS"] = window;
-            s["classes"][1]["group"] = group;
+            s["classes"][1]["group"] = deduplicationScope;
             Late late(s);
             if (!late.begin(request("change", "r", 100'000, "x"), [](Socket& link) { link.reset(); }))
                 continue;
             ::poll(nullptr, 0, static_cast<int>(window * 1000));
             Socket link = late.comesUp();
-            EXPECT_TRUE(link.atEnd()) << group;
+            EXPECT_TRUE(link.atEnd()) << deduplicationScope;
             const int status =
                 statusOf(late.client.message());  // it may have run, and repeats would run again
-            EXPECT_TRUE(status != 200 && status != 429 && status != 503) << group << ' ' << status;
+            EXPECT_TRUE(status != 200 && status != 429 && status != 503)
+                << deduplicationScope << ' ' << status;
             break;
         }
     }
@@ -322,16 +323,16 @@
 
 // Whichever is chosen first, the connection that does not come up costs its time limit and no request.
 TEST(StandingLate, OneThatNeverComesUpIsGivenUpAndAnotherIsTried) {
-    Server full(0), worker;
+    Server full(0), endpoint;
     Socket plug = connectTo(full.port);
     json s = patient();
     s["allowed"]["dialTimeoutS"] = 0.2;
-    Gate gate(Targets{target("full", full), target("w", worker)}, s);
+    GatewayProcess gate(Targets{target("full", full), target("w", endpoint)}, s);
     Socket link;
     for (int i = 0; i < 4; ++i) {
         Socket client = gate.client();
         client.write(ofFree(request("spend", "r" + std::to_string(i), 100'000, "x")));
-        if (i == 0) link = worker.accept();
+        if (i == 0) link = endpoint.accept();
         EXPECT_TRUE(has(link.message(), "Request-Id: r" + std::to_string(i)));
         link.write(ok("served"));
         EXPECT_EQ(statusOf(client.message()), 200);
@@ -346,19 +347,19 @@
          {"HTTP/1.1 200 OK\r\n\r\nhalf", "HTTP/1.0 200 OK\r\nContent-Type: text/plain\r\n\r\n",
           "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
           "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"}) {
-        Server worker;
-        Gate gate(Targets{target("w", worker)}, patient());
+        Server endpoint;
+        GatewayProcess gate(Targets{target("w", endpoint)}, patient());
         for (const char* cls : {"load", "spend"}) {
             Socket client = gate.client();
             client.write(request(cls, "r", 100'000));
-            Socket link = worker.accept();
+            Socket link = endpoint.accept();
             link.message();
             gate.whileStopped([&] {
                 link.write(begun);
                 link.reset();
             });
             if (std::string(cls) == "load") {
-                Socket again = worker.accept();
+                Socket again = endpoint.accept();
                 again.message();
                 again.write("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 5\r\n\r\nwhole");
                 EXPECT_EQ(bodyOf(client.message()), "whole") << begun;
@@ -371,22 +372,22 @@
 
 // Each byte comes by itself, none of them too late for the one before: it ends by its own time.
 TEST(StandingAnswers, OneThatNeverEndsLeavesTimeForAnother) {
-    Server worker;
-    Gate gate(Targets{target("w", worker)}, patient());
+    Server endpoint;
+    GatewayProcess gate(Targets{target("w", endpoint)}, patient());
     Socket client = gate.client();
     client.write(request("load", "r", 100'000));
-    Socket link = worker.accept();
+    Socket link = endpoint.accept();
     link.message();
     link.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     try {
         while (!link.waitReadable(10)) link.write("1\r\nx\r\n");
-    } catch (const std::runtime_error&) {  // the gatekeeper has closed it
+    } catch (const std::runtime_error&) {  // the gateway has closed it
     }
-    Socket again = worker.accept();
+    Socket again = endpoint.accept();
     again.message();
     again.write(ok("whole"));
     EXPECT_EQ(bodyOf(client.message()), "whole");
 }
 
 }  // namespace
-}  // namespace weldstall::test
+}  // namespace gateway::net::test
--- a/tests/gatekeeper_test.cpp
+++ b/tests/decision_engine_test.cpp
@@ -1,5 +1,5 @@
 // Tests of the decision module alone: fixed seeds, a clock of their own, no bench.
-#include "slipshift/gatekeeper.h"
+#include "gateway/decision_engine.h"
 
 #include <gtest/gtest.h>
 
@@ -7,7 +7,7 @@
 #include <set>
 #include <stdexcept>
 
-namespace slipshift {
+namespace gateway {
 namespace {
 
 using std::chrono::milliseconds;
@@ -15,42 +15,42 @@
 Settings plainSettings() {
     Settings s;
     RequestClass c;
-    c.aim = milliseconds(600);
+    c.latencyObjective = milliseconds(600);
     c.deadline = milliseconds(2500);
     s.classes = {c};
-    Plan p;
+    QuotaPlan p;
     p.rate = 2;
     p.burst = 8;  // a window of 4 s with room for 8 units
     s.plans = {p};
-    s.gatekeepers = 2;
-    s.mayCancel = s.tellsRetryAfter = true;
+    s.gatewayCount = 2;
+    s.cancellationAllowed = s.retryAfterAllowed = true;
     s.maxAttempts = 4;
     s.maxRetryAfter = milliseconds(500);
-    s.mayCount = true;
-    s.countTimeout = milliseconds(30);
-    s.maxUnits = 2;
-    s.answerSlack = milliseconds(16);
-    s.drainGrace = milliseconds(250);
-    s.coldFrom = 0.25;
-    s.warmWithin = milliseconds(16000);
-    s.tipMultiple = 2;
-    s.tipAfter = milliseconds(1000);
+    s.counterEnabled = true;
+    s.counterTimeout = milliseconds(30);
+    s.maxRequestCost = 2;
+    s.responseSlack = milliseconds(16);
+    s.drainGracePeriod = milliseconds(250);
+    s.slowStartInitialShare = 0.25;
+    s.slowStartDuration = milliseconds(16000);
+    s.overloadMultiple = 2;
+    s.overloadWindow = milliseconds(1000);
     return s;
 }
 
-// One gatekeeper, a clock and a counter service that the test can stop.
-class Rig {
+// One gateway, a clock and a counter service that the test can stop.
+class EngineFixture {
 public:
-    explicit Rig(Settings s, int workers = 4) : settings(s), keeper(std::move(s), 7) {
-        WorkerList list;
-        list.scope = ListScope::saved;
-        for (int i = 0; i < workers; ++i) list.entries.push_back(entry("w" + std::to_string(i), i / 2));
+    explicit EngineFixture(Settings s, int endpoints = 4) : settings(s), engine(std::move(s), 7) {
+        EndpointUpdate list;
+        list.kind = UpdateKind::cached;
+        for (int i = 0; i < endpoints; ++i) list.entries.push_back(entry("w" + std::to_string(i), i / 2));
         feed(list);
     }
 
-    static WorkerEntry entry(const std::string& id, int cell = 0) {
-        WorkerEntry e;
-        e.worker = id;
+    static EndpointEntry entry(const std::string& id, int cell = 0) {
+        EndpointEntry e;
+        e.endpoint = id;
         e.cell = cell;
         return e;
     }
@@ -58,9 +58,9 @@
     // Hands over an event and keeps the actions; adds are answered at once while `counting`.
     void feed(const Event& event) {
         Actions out;
-        keeper.handle(now, event, out);
+        engine.handle(now, event, out);
         for (const Action& action : out) {
-            if (const auto* add = std::get_if<AddToCount>(&action)) {
+            if (const auto* add = std::get_if<AddToCounter>(&action)) {
                 ++adds;
                 if (counting)
                     answers.push_back({add->name, Outcome::ok, counts[add->name] += add->amount, {}});
@@ -70,16 +70,16 @@
                 timers.emplace(now + timer->after, timer->timer);
             } else if (const auto* send = std::get_if<SendAttempt>(&action)) {
                 sends.push_back(*send);
-            } else if (const auto* refusal = std::get_if<Refuse>(&action)) {
+            } else if (const auto* refusal = std::get_if<RejectRequest>(&action)) {
                 refusals.push_back(*refusal);
-            } else if (const auto* failure = std::get_if<Fail>(&action)) {
+            } else if (const auto* failure = std::get_if<FailRequest>(&action)) {
                 fails.push_back(*failure);
             } else {
                 others.push_back(action);
             }
         }
         while (!answers.empty()) {
-            const CountAnswered a = answers.front();
+            const CounterReplied a = answers.front();
             answers.erase(answers.begin());
             feed(a);
         }
@@ -96,12 +96,12 @@
         now = until;
     }
 
-    std::string request(double units = 1, CustomerId customer = 5, Duration patience = milliseconds(2500),
+    std::string request(double cost = 1, TenantId tenant = 5, Duration patience = milliseconds(2500),
                         int entryPoints = 2) {
         RequestArrived r;
         r.request = "r" + std::to_string(++requests);
-        r.customer = customer;
-        r.units = units;
+        r.tenant = tenant;
+        r.cost = cost;
         r.entryPoints = entryPoints;
         r.deadline = now + patience;
         feed(r);
@@ -109,21 +109,21 @@
     }
 
     void end(const SendAttempt& send, int attempt, Outcome outcome, bool closed,
-             std::optional<double> units = {}) {
+             std::optional<double> cost = {}) {
         AttemptEnded e;
         e.request = send.request;
         e.attempt = attempt;
-        e.worker = send.worker;
+        e.endpoint = send.endpoint;
         e.outcome = outcome;
         e.elapsed = milliseconds(50);
         e.closed = closed;
-        e.trueUnits = units;
+        e.trueCost = cost;
         feed(e);
     }
 
     void failHeldAdds(Outcome outcome) {
         const auto adds_ = std::exchange(held, {});
-        for (const AddToCount& add : adds_) feed(CountAnswered{add.name, outcome, 0, milliseconds(30)});
+        for (const AddToCounter& add : adds_) feed(CounterReplied{add.name, outcome, 0, milliseconds(30)});
     }
 
     double counted() const {
@@ -133,46 +133,46 @@
     }
 
     Settings settings;
-    Gatekeeper keeper;
+    DecisionEngine engine;
     Time now = milliseconds(100'000);
     bool counting = true;
     int adds = 0, requests = 0;
     std::map<std::string, double> counts;
-    std::vector<CountAnswered> answers;
-    std::vector<AddToCount> held;
+    std::vector<CounterReplied> answers;
+    std::vector<AddToCounter> held;
     std::multimap<Time, std::uint64_t> timers;
     std::vector<SendAttempt> sends;
-    std::vector<Refuse> refusals;
-    std::vector<Fail> fails;
+    std::vector<RejectRequest> refusals;
+    std::vector<FailRequest> fails;
     Actions others;
 };
 
 TEST(Settings, SenselessOnesAreRefusedWithTheFieldNamed) {
     Settings s = plainSettings();
     s.plans[0].rate = -1;
-    ASSERT_TRUE(problemWith(s));
-    EXPECT_NE(problemWith(s)->find("plans[0].rate"), std::string::npos);
-    EXPECT_THROW(Gatekeeper(s, 1), std::invalid_argument);
+    ASSERT_TRUE(findSettingsProblem(s));
+    EXPECT_NE(findSettingsProblem(s)->find("plans[0].rate"), std::string::npos);
+    EXPECT_THROW(DecisionEngine(s, 1), std::invalid_argument);
     s = plainSettings();
     s.classes.clear();
-    ASSERT_TRUE(problemWith(s));
-    EXPECT_NE(problemWith(s)->find("classes"), std::string::npos);
+    ASSERT_TRUE(findSettingsProblem(s));
+    EXPECT_NE(findSettingsProblem(s)->find("classes"), std::string::npos);
 }
 
 TEST(Window, EachRequestIsAddedBeforeItIsSent) {
-    Rig rig(plainSettings());
+    EngineFixture rig(plainSettings());
     rig.counting = false;
     rig.request();
     EXPECT_GE(rig.held.size(), 1u);
     EXPECT_TRUE(rig.sends.empty());
     while (!rig.held.empty())  // the add opens its slice: a read of the closed one follows
-        for (const AddToCount& add : std::exchange(rig.held, {}))
-            rig.feed(CountAnswered{add.name, Outcome::ok, add.amount, {}});
+        for (const AddToCounter& add : std::exchange(rig.held, {}))
+            rig.feed(CounterReplied{add.name, Outcome::ok, add.amount, {}});
     EXPECT_EQ(rig.sends.size(), 1u);
 }
 
 TEST(Window, RefusesPastTheLimitAndTakesTheChargeBack) {
-    Rig rig(plainSettings());
+    EngineFixture rig(plainSettings());
     for (int i = 0; i < 12; ++i) rig.request();
     EXPECT_EQ(rig.sends.size(), 8u);
     EXPECT_EQ(rig.refusals.size(), 4u);
@@ -182,7 +182,7 @@
 }
 
 TEST(Window, CountsWhatOthersSentOn) {
-    Rig rig(plainSettings());
+    EngineFixture rig(plainSettings());
     rig.request();
     for (auto& [name, value] : rig.counts) value += 7;
     rig.request();
@@ -191,7 +191,7 @@
 }
 
 TEST(Window, RateIsGivenBackEvenlyAfterABurst) {
-    Rig rig(plainSettings());
+    EngineFixture rig(plainSettings());
     for (int i = 0; i < 100; ++i) {
         const std::size_t before = rig.sends.size();
         rig.request();
@@ -204,9 +204,9 @@
 }
 
 TEST(Window, TheOpenerOfASliceCarriesTheDebtOfTheClosedOne) {
-    Rig rig(plainSettings());
+    EngineFixture rig(plainSettings());
     rig.request();
-    Rig other(plainSettings());
+    EngineFixture other(plainSettings());
     other.counts = rig.counts;
     const std::string closed = other.counts.rbegin()->first;
     other.counts[closed] = 30;
@@ -218,30 +218,30 @@
 }
 
 TEST(Counter, ACrowdedCounterIsAskedLessAndEachAddStandsForMore) {
-    Rig rig(plainSettings());
-    for (CustomerId k = 100; k < 160; ++k) {  // one request of each: most calls are turned away
+    EngineFixture rig(plainSettings());
+    for (TenantId k = 100; k < 160; ++k) {  // one request of each: most calls are turned away
         rig.counting = k % 3 == 0;
         rig.request(1, k);
         rig.failHeldAdds(Outcome::rejected);
     }
-    const int asked = rig.adds;
-    EXPECT_LT(asked, 60);
+    const int poll_ = rig.adds;
+    EXPECT_LT(poll_, 60);
     double most = 0;
     for (const auto& [name, sum] : rig.counts) most = std::max(most, sum);
     EXPECT_GT(most, 1.5);
-    EXPECT_LE(most, 2);  // more would fill the windows of small customers by chance
+    EXPECT_LE(most, 2);  // more would fill the windows of small tenants by chance
     EXPECT_EQ(rig.sends.size(), 60u - rig.refusals.size());
     rig.counting = true;
-    for (CustomerId k = 200; k < 600; ++k) rig.request(1, k);
+    for (TenantId k = 200; k < 600; ++k) rig.request(1, k);
     const int before = rig.adds;
-    for (CustomerId k = 600; k < 700; ++k) rig.request(1, k);
+    for (TenantId k = 600; k < 700; ++k) rig.request(1, k);
     EXPECT_GE(rig.adds - before, 90);  // it carries the load again
 }
 
 // An answer that can't be read, or a connection that breaks, says nothing of how much the counter can bear.
 TEST(Counter, BrokenAnswersAreNoSignOfACrowd) {
-    Rig rig(plainSettings());
-    for (CustomerId k = 100; k < 160; ++k) {
+    EngineFixture rig(plainSettings());
+    for (TenantId k = 100; k < 160; ++k) {
         rig.counting = k % 3 != 0;
         rig.request(1, k);
         rig.failHeldAdds(Outcome::reset);
@@ -249,26 +249,26 @@
     EXPECT_EQ(rig.adds, 60 + 40);  // all ask; those that were answered also read the closed slice
 }
 
-// A customer that was not seen in the slice before owes nothing, as far as is known: a crowded counter isn't
+// A tenant that was not seen in the slice before owes nothing, as far as is known: a crowded counter isn't
 // asked.
 TEST(Counter, ACrowdedOneIsNotAskedForClosedSlicesThatHardlyOwe) {
-    Rig rig(plainSettings());
+    EngineFixture rig(plainSettings());
     rig.counting = false;
-    for (CustomerId k = 100; k < 103; ++k) {
+    for (TenantId k = 100; k < 103; ++k) {
         rig.request(1, k);
         rig.failHeldAdds(Outcome::rejected);
     }
     rig.counting = true;
-    for (CustomerId k = 200; k < 210; ++k) rig.request(1, k);
+    for (TenantId k = 200; k < 210; ++k) rig.request(1, k);
     for (const auto& [name, sum] : rig.counts) EXPECT_GT(sum, 0) << name << " was only read";
 }
 
 TEST(Counter, ACrowdedOnesTakeBacksNeverTakeOffWhatWasSent) {
-    Rig rig(plainSettings());
+    EngineFixture rig(plainSettings());
     double least = 0;
-    for (CustomerId k = 100; k < 300; ++k) {  // each asks for three times its burst
+    for (TenantId k = 100; k < 300; ++k) {  // each asks for three times its burst
         for (int i = 0; i < 24; ++i) {
-            rig.counting = (k + static_cast<CustomerId>(i)) % 3 == 0;  // most calls are turned away
+            rig.counting = (k + static_cast<TenantId>(i)) % 3 == 0;  // most calls are turned away
             rig.request(1, k);
             rig.advance(milliseconds(10));
             rig.failHeldAdds(Outcome::rejected);
@@ -279,13 +279,13 @@
     EXPECT_GE(least, -1e-6);
 }
 
-// Of a crowded counter's answers those are worth most that tell of customers near their quota.
+// Of a crowded counter's answers those are worth most that tell of tenants near their quota.
 TEST(Counter, ACrowdedOneIsAskedMostForThoseNearTheirQuota) {
     Settings s = plainSettings();
-    s.plans[0].overCost = 1;
-    Rig rig(s);
+    s.plans[0].overQuotaPenalty = 1;
+    EngineFixture rig(s);
     int frequent = 0, once = 0;
-    for (CustomerId k = 100; k < 300; ++k) {
+    for (TenantId k = 100; k < 300; ++k) {
         rig.counting = false;
         int before = rig.adds;
         rig.request(1, 7);
@@ -301,15 +301,15 @@
     EXPECT_GT(once, 0);
 }
 
-// A crowded counter works on calls that nobody waits for: adding them once more would shut the customer out.
+// A crowded counter works on calls that nobody waits for: adding them once more would shut the tenant out.
 TEST(Counter, AddsWithoutAnAnswerAreNotMadeTwice) {
     Settings s = plainSettings();
     s.plans[0].burst = 40;
-    Rig rig(s);
+    EngineFixture rig(s);
     rig.counting = false;
     for (int i = 0; i < 24; ++i) {
         rig.request(1, 5, milliseconds(2500), 1);
-        for (const AddToCount& add : rig.held) rig.counts[add.name] += add.amount;
+        for (const AddToCounter& add : rig.held) rig.counts[add.name] += add.amount;
         rig.failHeldAdds(Outcome::timedOut);
     }
     ASSERT_EQ(rig.sends.size(), 24u);
@@ -323,7 +323,7 @@
 
 // A sum has in it nothing of the calls that were made after its own.
 TEST(Counter, WhatIsStillUnderWayIsTakenToBeLetIn) {
-    Rig rig(plainSettings());
+    EngineFixture rig(plainSettings());
     rig.counting = false;
     const auto ask = [&] {
         rig.request(1, 5, milliseconds(2500), 1);
@@ -331,9 +331,9 @@
     };
     for (int i = 0; i < 5; ++i) ask();
     ASSERT_EQ(rig.sends.size(), 5u);
-    const AddToCount first = rig.held.front();
+    const AddToCounter first = rig.held.front();
     rig.held.erase(rig.held.begin());
-    rig.feed(CountAnswered{first.name, Outcome::ok, 1, {}});
+    rig.feed(CounterReplied{first.name, Outcome::ok, 1, {}});
     for (int i = 0; i < 10; ++i) ask();
     EXPECT_LE(rig.sends.size(), 9u);  // the burst of 8 and 2 a second
     EXPECT_GE(rig.sends.size(), 8u);
@@ -341,91 +341,92 @@
 
 // Where a try too many earns more than it costs, nobody is refused for what others may have let in.
 TEST(Counter, UnseenUseOfOthersIsNotHeldAgainstAPlanThatLosesNothing) {
-    for (const double overWorth : {0.0, 0.2}) {
+    for (const double overQuotaWeight : {0.0, 0.2}) {
         Settings s = plainSettings();
-        s.plans[0].overWorth = overWorth;
-        Rig rig(s);
+        s.plans[0].overQuotaWeight = overQuotaWeight;
+        EngineFixture rig(s);
         rig.counting = false;
         for (int i = 0; i < 7; ++i) {
             rig.request(1, 5, milliseconds(2500), 4);
             rig.failHeldAdds(Outcome::timedOut);
         }
-        EXPECT_EQ(rig.sends.size() == 7, overWorth > 0);
+        EXPECT_EQ(rig.sends.size() == 7, overQuotaWeight > 0);
     }
 }
 
 TEST(Cold, AColdWorkersPartHoldsSummedOverManyGatekeepers) {
     int sent = 0;
-    for (int k = 0; k < 200; ++k) {  // 200 gatekeepers meet one cold worker, one request each
+    for (int k = 0; k < 200; ++k) {  // 200 gateways meet one cold endpoint, one request each
         Settings s = plainSettings();
-        s.gatekeepers = 200;
-        s.self = k;
-        Gatekeeper keeper(s, static_cast<std::uint64_t>(k) + 1);
-        WorkerList list;
-        list.scope = ListScope::saved;
-        for (int i = 0; i < 40; ++i) list.entries.push_back(Rig::entry("w" + std::to_string(i)));
+        s.gatewayCount = 200;
+        s.gatewayIndex = k;
+        DecisionEngine engine(s, static_cast<std::uint64_t>(k) + 1);
+        EndpointUpdate list;
+        list.kind = UpdateKind::cached;
+        for (int i = 0; i < 40; ++i) list.entries.push_back(EngineFixture::entry("w" + std::to_string(i)));
         list.entries[0].startedAt = milliseconds(100'000);
         list.entries[0].weight = 8;  // a large one, so that it looks idlest even when cold
         Actions out;
-        keeper.handle(milliseconds(100'000), list, out);
+        engine.handle(milliseconds(100'000), list, out);
         RequestArrived r;
         r.request = "r";
-        r.customer = static_cast<CustomerId>(k);
+        r.tenant = static_cast<TenantId>(k);
         r.deadline = milliseconds(102'500);
-        keeper.handle(milliseconds(100'100), r, out);
+        engine.handle(milliseconds(100'100), r, out);
         for (std::size_t i = 0; i < out.size(); ++i)
-            if (const auto* add = std::get_if<AddToCount>(&out[i]))
-                keeper.handle(milliseconds(100'101), CountAnswered{add->name, Outcome::ok, add->amount, {}},
+            if (const auto* add = std::get_if<AddToCounter>(&out[i]))
+                engine.handle(milliseconds(100'101), CounterReplied{add->name, Outcome::ok, add->amount, {}},
                               out);
         for (const Action& action : out)
-            if (const auto* send = std::get_if<SendAttempt>(&action)) sent += send->worker == "w0";
+            if (const auto* send = std::get_if<SendAttempt>(&action)) sent += send->endpoint == "w0";
     }
     EXPECT_LE(sent, 20);  // its part by weight and warmth is about 9 of the 200
 }
 
-// How many of 2,000 gatekeepers, that hear of each worker very seldom, send the twelfth request to a cold
+// How many of 2,000 gateways, that hear of each endpoint very seldom, send the twelfth request to a cold
 // one, 36 of the 60, where warm ones answered the three before in `took` and all earlier ones quickly.
 int sentToCold(Duration took) {
     int sent = 0;
     constexpr int kKeepers = 2000, kCold = 36, kRequests = 12;
     for (int k = 0; k < kKeepers; ++k) {
         Settings s = plainSettings();
-        s.gatekeepers = kKeepers;
-        s.self = k;
-        s.mayCount = false;
-        Gatekeeper keeper(s, static_cast<std::uint64_t>(k) + 1);
-        WorkerList list;
-        list.scope = ListScope::saved;
+        s.gatewayCount = kKeepers;
+        s.gatewayIndex = k;
+        s.counterEnabled = false;
+        DecisionEngine engine(s, static_cast<std::uint64_t>(k) + 1);
+        EndpointUpdate list;
+        list.kind = UpdateKind::cached;
         for (int i = 0; i < 60; ++i) {
-            list.entries.push_back(Rig::entry((i < kCold ? "cold" : "warm") + std::to_string(i)));
+            list.entries.push_back(EngineFixture::entry((i < kCold ? "cold" : "warm") + std::to_string(i)));
             if (i < kCold) list.entries.back().startedAt = milliseconds(100'000);
         }
         Actions out;
         Time now = milliseconds(60'000);
-        keeper.handle(now, list, out);
+        engine.handle(now, list, out);
         for (int i = 0; i < kRequests; ++i, now += milliseconds(3000)) {
             out.clear();
             RequestArrived r;
             r.request = "r" + std::to_string(i);
-            r.customer = static_cast<CustomerId>(k);
+            r.tenant = static_cast<TenantId>(k);
             r.deadline = now + milliseconds(2500);
-            keeper.handle(now, r, out);
+            engine.handle(now, r, out);
             const SendAttempt* send = std::get_if<SendAttempt>(&out.back());
             if (send == nullptr) continue;  // the limit on attempts out falls with slow answers
-            const bool cold = send->worker.starts_with("cold");
+            const bool cold = send->endpoint.starts_with("cold");
             if (i == kRequests - 1) sent += cold;
             AttemptEnded answer;
             answer.request = r.request;
-            answer.worker = send->worker;
+            answer.endpoint = send->endpoint;
             answer.elapsed = cold || i < kRequests - 4 ? milliseconds(100) : took;
             answer.closed = true;
-            keeper.handle(now + answer.elapsed, answer, out);
+            engine.handle(now + answer.elapsed, answer, out);
         }
     }
     return sent;
 }
 
-// A cold worker is no busier than warm ones while those have room: what it was sent beyond that would queue.
+// A cold endpoint is no busier than warm ones while those have room: what it was sent beyond that would
+// queue.
 TEST(Cold, WhileWarmOnesAnswerQuicklyItTakesNoMoreThanItsWarmth) {
     const int sent = sentToCold(milliseconds(100));
     EXPECT_GE(sent, 2000 * 11 / 100);  // by warmth 0.25 x 36 / 60, so 15 in 100
@@ -433,34 +434,34 @@
 }
 
 // While most of a fleet is new, what the cold ones leave untouched falls on the few warm ones, by all
-// gatekeepers at once: where those get slow, the cold ones take a good part of what the multiple allows.
+// gateways at once: where those get slow, the cold ones take a good part of what the multiple allows.
 TEST(Cold, WhileMostOfTheFleetIsColdAndTheRestIsSlowItTakesMoreThanItsWarmth) {
-    const int sent = sentToCold(plainSettings().classes[0].aim * 9 / 10);
+    const int sent = sentToCold(plainSettings().classes[0].latencyObjective * 9 / 10);
     EXPECT_GE(sent, 2000 * 22 / 100);
     EXPECT_LE(sent, 2000 * 30 / 100);  // the tipping multiple of 2 is at 30
 }
 
-// The workers that gatekeeper `self` of a hundred sends to, of sixty, when each attempt ends in `outcome`.
-std::set<WorkerId> workersUsed(int self, Outcome outcome) {
+// The endpoints that gateway `self` of a hundred sends to, of sixty, when each attempt ends in `outcome`.
+std::set<EndpointId> workersUsed(int self, Outcome outcome) {
     Settings s = plainSettings();
-    s.gatekeepers = 100;
-    s.self = self;
-    s.mayCount = false;
-    Gatekeeper keeper(s, static_cast<std::uint64_t>(self) + 1);
-    WorkerList list;
-    list.scope = ListScope::saved;
-    for (int i = 0; i < 60; ++i) list.entries.push_back(Rig::entry("w" + std::to_string(i)));
+    s.gatewayCount = 100;
+    s.gatewayIndex = self;
+    s.counterEnabled = false;
+    DecisionEngine engine(s, static_cast<std::uint64_t>(self) + 1);
+    EndpointUpdate list;
+    list.kind = UpdateKind::cached;
+    for (int i = 0; i < 60; ++i) list.entries.push_back(EngineFixture::entry("w" + std::to_string(i)));
     Actions out;
     Time now = milliseconds(100'000);
-    keeper.handle(now, list, out);
-    std::set<WorkerId> used;
+    engine.handle(now, list, out);
+    std::set<EndpointId> used;
     for (int i = 0; i < 100; ++i) {
         RequestArrived r;
         r.request = "r" + std::to_string(i);
-        r.customer = static_cast<CustomerId>(i);
+        r.tenant = static_cast<TenantId>(i);
         r.deadline = now + milliseconds(2500);
         out.clear();
-        keeper.handle(now, r, out);
+        engine.handle(now, r, out);
         now += milliseconds(20);
         // Further attempts of the same request are answered as they come.
         for (std::size_t at = 0, attempt = 0; at < out.size(); ++at) {
@@ -469,30 +470,30 @@
             AttemptEnded ended;
             ended.request = r.request;
             ended.attempt = static_cast<int>(attempt++);
-            ended.worker = send->worker;
+            ended.endpoint = send->endpoint;
             ended.outcome = outcome;
             ended.elapsed = milliseconds(20);
             ended.closed = outcome == Outcome::ok;
-            used.insert(ended.worker);
-            keeper.handle(now, ended, out);
+            used.insert(ended.endpoint);
+            engine.handle(now, ended, out);
         }
     }
     return used;
 }
 
-// Connections cost workers work and room: among many gatekeepers each uses a few workers, and no worker is
+// Connections cost endpoints work and room: among many gateways each uses a few endpoints, and no endpoint is
 // left out or has more of them than another.
 TEST(Subset, OneOfManyGatekeepersUsesAFewWorkersAndAllWorkersAreUsedAlike) {
-    std::map<WorkerId, int> users;
+    std::map<EndpointId, int> users;
     for (int self = 0; self < 100; ++self) {
         const auto used = workersUsed(self, Outcome::ok);
         EXPECT_LE(used.size(), 8u);
-        for (const WorkerId& worker : used) ++users[worker];
+        for (const EndpointId& endpoint : used) ++users[endpoint];
     }
     EXPECT_EQ(users.size(), 60u);
-    for (const auto& [worker, count] : users) {
-        EXPECT_GE(count, 11) << worker;
-        EXPECT_LE(count, 16) << worker;
+    for (const auto& [endpoint, count] : users) {
+        EXPECT_GE(count, 11) << endpoint;
+        EXPECT_LE(count, 16) << endpoint;
     }
 }
 
@@ -503,10 +504,10 @@
 TEST(Workers, SilentOnesAmongQuickOnesDoNotShutTheGate) {
     Settings s = plainSettings();
     s.plans[0].rate = s.plans[0].burst = 1e6;
-    s.gatekeepers = 300;
-    Rig rig(s, 20);
+    s.gatewayCount = 300;
+    EngineFixture rig(s, 20);
     std::size_t refused = 0;
-    for (int i = 0; i < 200; ++i) {  // eight workers of twenty answer nothing
+    for (int i = 0; i < 200; ++i) {  // eight endpoints of twenty answer nothing
         const std::size_t before = rig.sends.size();
         rig.request();
         for (int attempt = 0; rig.sends.size() > before + static_cast<std::size_t>(attempt); ++attempt) {
@@ -514,8 +515,8 @@
             AttemptEnded e;
             e.request = sent.request;
             e.attempt = attempt;
-            e.worker = sent.worker;
-            const bool silent = sent.worker.size() == 2 && sent.worker < "w8";
+            e.endpoint = sent.endpoint;
+            const bool silent = sent.endpoint.size() == 2 && sent.endpoint < "w8";
             e.outcome = silent ? Outcome::timedOut : Outcome::ok;
             e.elapsed = silent ? milliseconds(600) : milliseconds(80);
             e.closed = !silent;
@@ -527,13 +528,13 @@
     EXPECT_LE(refused, 10u);
 }
 
-// Among many gatekeepers each sees a customer so seldom that its guess of what the others let in can be many
-// times the truth. Posted as debt, it would shut the customer out at all of them.
+// Among many gateways each sees a tenant so seldom that its guess of what the others let in can be many
+// times the truth. Posted as debt, it would shut the tenant out at all of them.
 TEST(Window, AGuessOfTheOthersIsNotPostedAsDebt) {
     Settings s = plainSettings();
-    s.gatekeepers = 100;
-    s.meterPeriod = milliseconds(1000);
-    Rig rig(s, 60);
+    s.gatewayCount = 100;
+    s.usageMeterPeriod = milliseconds(1000);
+    EngineFixture rig(s, 60);
     rig.counting = false;
     rig.request(1, 5, milliseconds(2500), 75);
     rig.failHeldAdds(Outcome::connectFailed);  // let in on what is known here, and owed to the counter
@@ -548,23 +549,23 @@
 
 TEST(Counter, ACrowdedOneIsAskedByTheMeterWhereOwnRequestsAreFew) {
     Settings s = plainSettings();
-    s.gatekeepers = 100;
-    s.meterPeriod = milliseconds(1000);
+    s.gatewayCount = 100;
+    s.usageMeterPeriod = milliseconds(1000);
     s.plans[0].rate = 20;
     s.plans[0].burst = 80;
-    Rig rig(s, 60);
+    EngineFixture rig(s, 60);
     int adds[2] = {0, 0};  // of one that uses all of its quota, and of one that uses little
     for (int i = 0; i < 120; ++i) {
         const int which = i % 2;
         // Now and then calls time out: the counter is crowded.
         rig.counting = i < 20 || i % 10 > 1;
         const int before = rig.adds;
-        rig.request(1, static_cast<CustomerId>(5 + which), milliseconds(2500), 75);
+        rig.request(1, static_cast<TenantId>(5 + which), milliseconds(2500), 75);
         if (i >= 20) adds[which] += rig.adds > before;
         rig.failHeldAdds(Outcome::timedOut);
         AttemptEnded e;
         e.request = rig.sends.back().request;
-        e.worker = rig.sends.back().worker;
+        e.endpoint = rig.sends.back().endpoint;
         e.closed = true;
         e.meteredPercent = which == 0 ? 100 : 5;
         rig.feed(e);
@@ -573,17 +574,17 @@
     EXPECT_GT(adds[0], adds[1] + 10);
 }
 
-// A customer held to its quota reads 100% however much it asks for. Over a whole fleet, all that goes unasked
+// A tenant held to its quota reads 100% however much it asks for. Over a whole fleet, all that goes unasked
 // then comes on top of it.
 TEST(Counter, UnaskedOnesOfACustomerAtItsQuotaAreLetInLessWhereOneTooManyCosts) {
-    const auto sharedLetIn = [](double overCost) {
+    const auto sharedLetIn = [](double overQuotaPenalty) {
         Settings s = plainSettings();
-        s.gatekeepers = 100;
-        s.meterPeriod = milliseconds(1000);
+        s.gatewayCount = 100;
+        s.usageMeterPeriod = milliseconds(1000);
         s.plans[0].rate = 200;
         s.plans[0].burst = 800;
-        s.plans[0].overCost = overCost;
-        Rig rig(s, 60);
+        s.plans[0].overQuotaPenalty = overQuotaPenalty;
+        EngineFixture rig(s, 60);
         rig.counting = false;
         for (int i = 0; i < 400; ++i) {
             const std::size_t before = rig.sends.size();
@@ -593,7 +594,7 @@
             if (rig.sends.size() == before) continue;
             AttemptEnded e;
             e.request = rig.sends.back().request;
-            e.worker = rig.sends.back().worker;
+            e.endpoint = rig.sends.back().endpoint;
             e.closed = true;
             e.meteredPercent = 100;
             rig.feed(e);
@@ -605,23 +606,23 @@
     EXPECT_GT(sharedLetIn(1), 0.2);
 }
 
-// Without a meter nothing tells of a customer that comes here seldom: what is let in of such without an
+// Without a meter nothing tells of a tenant that comes here seldom: what is let in of such without an
 // answer comes on top of quotas as often as the counter's answers leave others of their plan no room.
 TEST(Counter, WithoutAMeterUnaskedOnesAreLetInAsOthersOfTheirPlanHaveRoom) {
-    const auto letIn = [](bool othersHaveRoom, double overCost) {
+    const auto letIn = [](bool othersHaveRoom, double overQuotaPenalty) {
         Settings s = plainSettings();
-        s.gatekeepers = 100;
-        s.plans[0].overCost = overCost;
-        Rig rig(s, 60);
+        s.gatewayCount = 100;
+        s.plans[0].overQuotaPenalty = overQuotaPenalty;
+        EngineFixture rig(s, 60);
         rig.counting = false;
-        constexpr CustomerId kOthers = 200, kUnasked = 200;
-        for (CustomerId i = 0; i < kOthers + kUnasked; ++i) {
+        constexpr TenantId kOthers = 200, kUnasked = 200;
+        for (TenantId i = 0; i < kOthers + kUnasked; ++i) {
             const std::size_t before = rig.sends.size();
             rig.request(1, 5 + i, milliseconds(2500), 75);
             while (i < kOthers && !rig.held.empty()) {
-                const AddToCount add = rig.held.front();
+                const AddToCounter add = rig.held.front();
                 rig.held.erase(rig.held.begin());
-                rig.feed(CountAnswered{add.name, Outcome::ok, othersHaveRoom ? 2.0 : 100.0, {}});
+                rig.feed(CounterReplied{add.name, Outcome::ok, othersHaveRoom ? 2.0 : 100.0, {}});
             }
             if (i >= kOthers) rig.failHeldAdds(Outcome::connectFailed);
             if (rig.sends.size() > before) rig.end(rig.sends.back(), 0, Outcome::ok, true);
@@ -640,11 +641,11 @@
     Settings s = plainSettings();
     s.plans.push_back(s.plans[0]);
     s.plans[1].rate = 0.5;  // slices of 16 s
-    Rig rig(s);
+    EngineFixture rig(s);
     const auto ask = [&](int plan) {
         RequestArrived r;
         r.request = "p" + std::to_string(++rig.requests);
-        r.customer = 5;
+        r.tenant = 5;
         r.plan = plan;
         r.deadline = rig.now + milliseconds(2500);
         rig.feed(r);
@@ -655,10 +656,10 @@
 }
 
 TEST(Window, ChargesTakenBackInAClosedSliceGiveTheirRoomBack) {
-    Rig rig(plainSettings());
+    EngineFixture rig(plainSettings());
     rig.request();
     for (auto& [name, value] : rig.counts)
-        if (value > 0) value += 6;  // another gatekeeper's refused tries, not yet taken back
+        if (value > 0) value += 6;  // another gateway's refused tries, not yet taken back
     rig.request();
     for (auto& [name, value] : rig.counts)
         if (value > 0) value -= 6;
@@ -668,7 +669,7 @@
 }
 
 TEST(Window, OpensAgainOnceTheSlicesHaveLeft) {
-    Rig rig(plainSettings());
+    EngineFixture rig(plainSettings());
     for (int i = 0; i < 9; ++i) rig.request();
     ASSERT_EQ(rig.sends.size(), 8u);
     for (const SendAttempt& s : std::vector(rig.sends)) rig.end(s, 0, Outcome::ok, true);
@@ -679,8 +680,8 @@
 
 TEST(Settlement, TrueCostIsCarriedAsDebtAndRefund) {
     Settings s = plainSettings();
-    s.settles = true;
-    Rig rig(s);
+    s.reconciliationEnabled = true;
+    EngineFixture rig(s);
     rig.request();
     rig.end(rig.sends[0], 0, Outcome::ok, true, 11);  // 3 beyond the burst: a debt of 1.5 s
     rig.advance(milliseconds(1000));
@@ -692,7 +693,7 @@
     rig.request();
     EXPECT_EQ(rig.sends.size(), 2u);
 
-    Rig refund(s);
+    EngineFixture refund(s);
     refund.request(2);
     refund.end(refund.sends[0], 0, Outcome::ok, true, 1);
     refund.advance(milliseconds(1000));
@@ -700,7 +701,7 @@
 }
 
 TEST(Counter, SilenceIsWaitedForOnlyBriefly) {
-    Rig rig(plainSettings());
+    EngineFixture rig(plainSettings());
     rig.counting = false;
     rig.request();
     rig.advance(milliseconds(60));
@@ -708,21 +709,21 @@
 }
 
 TEST(Counter, WhileAwayNeitherOpenNorShutAndNotHammered) {
-    Rig rig(plainSettings());
+    EngineFixture rig(plainSettings());
     rig.counting = false;
     for (int i = 0; i < 200; ++i) {
-        rig.request(1, static_cast<CustomerId>(i % 4));
+        rig.request(1, static_cast<TenantId>(i % 4));
         rig.advance(milliseconds(5));
         rig.failHeldAdds(Outcome::connectFailed);
     }
-    // Four customers with room for 8 units each, of which this gatekeeper takes a share.
+    // Four tenants with room for 8 units each, of which this gateway takes a share.
     EXPECT_GE(rig.sends.size(), 8u);
     EXPECT_LE(rig.sends.size(), 32u);
     EXPECT_LT(rig.adds, 200);
 }
 
 TEST(Counter, LostCountsArePutBack) {
-    Rig rig(plainSettings());
+    EngineFixture rig(plainSettings());
     for (int i = 0; i < 5; ++i) rig.request();
     rig.counts.clear();
     for (int i = 0; i < 7; ++i) rig.request();
@@ -731,12 +732,12 @@
     EXPECT_DOUBLE_EQ(rig.counted(), 8);
 }
 
-// What other gatekeepers settle below their guesses lowers a sum too: put in again, it would shut out a
-// customer that has room. A crowded counter makes no difference to that.
+// What other gateways settle below their guesses lowers a sum too: put in again, it would shut out a
+// tenant that has room. A crowded counter makes no difference to that.
 TEST(Counter, RefundsOfOthersAreNotTakenForLostCounts) {
     Settings s = plainSettings();
-    s.settles = true;
-    Rig rig(s);
+    s.reconciliationEnabled = true;
+    EngineFixture rig(s);
     rig.request(2);
     rig.counting = false;
     rig.request(1, 9);
@@ -755,8 +756,8 @@
 
 TEST(Counter, NotPermittedMeansAShareOfTheQuota) {
     Settings s = plainSettings();
-    s.mayCount = false;
-    Rig rig(s);
+    s.counterEnabled = false;
+    EngineFixture rig(s);
     for (int i = 0; i < 12; ++i) rig.request();
     EXPECT_EQ(rig.adds, 0);
     EXPECT_GE(rig.sends.size(), 3u);
@@ -764,11 +765,11 @@
 }
 
 TEST(Counter, LateAndUnknownAnswersArePassedOver) {
-    Rig rig(plainSettings());
-    rig.feed(CountAnswered{"q99.3", Outcome::ok, 4, {}});
-    rig.feed(CountAnswered{"nonsense", Outcome::ok, 4, {}});
+    EngineFixture rig(plainSettings());
+    rig.feed(CounterReplied{"q99.3", Outcome::ok, 4, {}});
+    rig.feed(CounterReplied{"nonsense", Outcome::ok, 4, {}});
     rig.feed(TimerFired{12345});
-    rig.feed(RequestGone{"nobody"});
+    rig.feed(ClientDisconnected{"nobody"});
     AttemptEnded e;
     e.request = "nobody";
     rig.feed(e);
@@ -777,54 +778,54 @@
 
 TEST(Ceiling, HoldsWithoutTheCounterAndIsEmptyAfterAStart) {
     Settings s = plainSettings();
-    s.mayCount = false;
+    s.counterEnabled = false;
     s.plans[0].rate = 1000;
     s.plans[0].burst = 4000;
     s.plans[0].ceilingRate = 10;
     s.plans[0].ceilingBurst = 20;
-    Rig rig(s);
+    EngineFixture rig(s);
     rig.request();
     EXPECT_TRUE(rig.sends.empty());
     rig.advance(milliseconds(60'000));
     for (int i = 0; i < 20; ++i) rig.request();
-    EXPECT_EQ(rig.sends.size(), 10u);  // half of the store: two gatekeepers share it
+    EXPECT_EQ(rig.sends.size(), 10u);  // half of the store: two gateways share it
 }
 
-// Several gatekeepers share a customer's ceiling; all they send on is summed against rate, store and slack.
+// Several gateways share a tenant's ceiling; all they send on is summed against rate, store and slack.
 // They share a counter that answers some of them, now and then falls silent and now and then comes back
 // empty.
 TEST(Ceiling, HoldsInSumWhileTheCounterFailsAndForgets) {
     constexpr int entryPoints = 4;
     Settings s = plainSettings();
-    s.gatekeepers = entryPoints;
-    s.maxUnits = 4;
-    Plan& plan = s.plans[0];
+    s.gatewayCount = entryPoints;
+    s.maxRequestCost = 4;
+    QuotaPlan& plan = s.plans[0];
     plan.rate = 20;
     plan.burst = 30;
     plan.ceilingRate = 35;
     plan.ceilingBurst = 50;
     plan.ceilingSlack = 5;
-    for (const int answering : {0, 1, 2, 4}) {  // gatekeepers that the counter answers
-        std::vector<Rig> rigs;
+    for (const int answering : {0, 1, 2, 4}) {  // gateways that the counter answers
+        std::vector<EngineFixture> rigs;
         for (int i = 0; i < entryPoints; ++i) rigs.emplace_back(s);
         std::map<std::string, double> counts;
         double store = plan.ceilingBurst, least = store, all = 0;
         for (int step = 0; step < 4000; ++step) {  // 40 s, half of them asked beyond the ceiling
             store = std::min(plan.ceilingBurst, store + plan.ceilingRate * 0.01);
             for (int i = 0; i < entryPoints; ++i) {
-                Rig& rig = rigs[static_cast<std::size_t>(i)];
+                EngineFixture& rig = rigs[static_cast<std::size_t>(i)];
                 rig.advance(milliseconds(10));
                 rig.counting = i < answering && step % 700 < 600;
                 if (step % 500 == 0) counts.clear();
                 rig.counts = counts;
                 if ((step + i) % 4 != 0 || step % 1000 >= 500) continue;
-                const double units = 1 + (step / 4 + i) % 4;
+                const double cost = 1 + (step / 4 + i) % 4;
                 const std::size_t before = rig.sends.size();
-                rig.request(units, 5, milliseconds(2500), entryPoints);
+                rig.request(cost, 5, milliseconds(2500), entryPoints);
                 rig.failHeldAdds(Outcome::timedOut);
                 for (std::size_t k = before; k < rig.sends.size(); ++k) {
-                    store -= units;
-                    all += units;
+                    store -= cost;
+                    all += cost;
                     rig.end(rig.sends[k], 0, Outcome::ok, true);
                 }
                 least = std::min(least, store);
@@ -836,16 +837,16 @@
     }
 }
 
-// A customer that comes through one of its gatekeepers only gets its quota there, from the first moment on:
+// A tenant that comes through one of its gateways only gets its quota there, from the first moment on:
 // what the counter answered for is within the quota, whatever the ceiling's parts.
 TEST(Ceiling, WhatTheCounterAnsweredForDrawsOnNoPartOfIt) {
     Settings s = plainSettings();
-    Plan& plan = s.plans[0];
+    QuotaPlan& plan = s.plans[0];
     plan.rate = 20;
     plan.burst = 30;
     plan.ceilingRate = 35;
     plan.ceilingBurst = 50;
-    Rig rig(s);
+    EngineFixture rig(s);
     for (int i = 0; i < 40; ++i) rig.request(1, 5, milliseconds(2500), 4);
     EXPECT_GE(rig.sends.size(), 29u);
     for (const SendAttempt& send : rig.sends) rig.end(send, 0, Outcome::ok, true);
@@ -861,11 +862,11 @@
 
 TEST(Ceiling, FewerEntryPointsDoNotFillAPartThatOthersHaveSpent) {
     Settings s = plainSettings();
-    s.mayCount = false;
+    s.counterEnabled = false;
     s.plans[0].rate = s.plans[0].burst = 4000;
     s.plans[0].ceilingRate = 10;
     s.plans[0].ceilingBurst = 20;
-    Rig rig(s);
+    EngineFixture rig(s);
     rig.advance(milliseconds(60'000));
     for (int i = 0; i < 10; ++i) rig.request(1, 5, milliseconds(2500), 4);
     EXPECT_EQ(rig.sends.size(), 5u);  // a quarter of the store
@@ -879,8 +880,8 @@
 
 TEST(Effects, UnsafeIsNotSentAgainOnceItMayHaveRun) {
     Settings s = plainSettings();
-    s.classes[0].effect = Effect::unsafe;
-    Rig rig(s);
+    s.classes[0].idempotency = Idempotency::none;
+    EngineFixture rig(s);
     rig.request();
     rig.end(rig.sends[0], 0, Outcome::connectFailed, false);
     ASSERT_EQ(rig.sends.size(), 2u);  // never ran: may go elsewhere
@@ -892,22 +893,22 @@
 
 TEST(Effects, KeyedStaysInItsCellAndWindow) {
     Settings s = plainSettings();
-    s.classes[0].effect = Effect::keyed;
-    s.classes[0].group = Group::cell;
-    s.classes[0].repeatWindow = milliseconds(400);
-    Rig rig(s);
-    for (CustomerId c = 0; c < 8; ++c) {
+    s.classes[0].idempotency = Idempotency::withKey;
+    s.classes[0].deduplicationScope = DeduplicationScope::cell;
+    s.classes[0].idempotencyWindow = milliseconds(400);
+    EngineFixture rig(s);
+    for (TenantId c = 0; c < 8; ++c) {
         const std::size_t before = rig.sends.size();
         rig.request(1, c);
         ASSERT_EQ(rig.sends.size(), before + 1);
         const SendAttempt first = rig.sends.back();
         rig.end(first, 0, Outcome::error, false);
         if (rig.sends.size() == before + 1) continue;  // failed instead: permitted too
-        const auto cell = [](const WorkerId& w) { return (w[1] - '0') / 2; };
-        EXPECT_EQ(cell(rig.sends.back().worker), cell(first.worker));
+        const auto cell = [](const EndpointId& w) { return (w[1] - '0') / 2; };
+        EXPECT_EQ(cell(rig.sends.back().endpoint), cell(first.endpoint));
         rig.end(rig.sends.back(), 1, Outcome::ok, true);
     }
-    Rig late(s);
+    EngineFixture late(s);
     late.request();
     late.advance(milliseconds(450));
     late.end(late.sends[0], 0, Outcome::error, false);
@@ -919,10 +920,10 @@
 TEST(Effects, AKeyedRepeatMustBeginWithinTheWindowAndOthersAtAnyTime) {
     for (const Outcome first : {Outcome::reset, Outcome::rejected}) {
         Settings s = plainSettings();
-        s.classes[0].effect = Effect::keyed;
-        s.classes[0].group = Group::all;
-        s.classes[0].repeatWindow = milliseconds(400);
-        Rig rig(s);
+        s.classes[0].idempotency = Idempotency::withKey;
+        s.classes[0].deduplicationScope = DeduplicationScope::all;
+        s.classes[0].idempotencyWindow = milliseconds(400);
+        EngineFixture rig(s);
         rig.request();
         EXPECT_EQ(rig.sends.at(0).beginWithin, Duration::zero());
         rig.advance(milliseconds(150));
@@ -937,7 +938,7 @@
 }
 
 TEST(Answers, OneFinalAnswerAndNothingAfterIt) {
-    Rig rig(plainSettings());
+    EngineFixture rig(plainSettings());
     rig.request();
     rig.end(rig.sends[0], 0, Outcome::ok, true);
     rig.end(rig.sends[0], 0, Outcome::ok, true);
@@ -947,9 +948,9 @@
 }
 
 TEST(Answers, AClientThatLeavesHasItsAttemptCancelled) {
-    Rig rig(plainSettings());
+    EngineFixture rig(plainSettings());
     const std::string id = rig.request();
-    rig.feed(RequestGone{id});
+    rig.feed(ClientDisconnected{id});
     ASSERT_EQ(rig.others.size(), 1u);
     EXPECT_TRUE(std::holds_alternative<CancelAttempt>(rig.others[0]));
     rig.end(rig.sends[0], 0, Outcome::cancelled, true);
@@ -957,7 +958,7 @@
 }
 
 TEST(Answers, AClientAboutToLeaveIsAnsweredBeforeItDoes) {
-    Rig rig(plainSettings());
+    EngineFixture rig(plainSettings());
     rig.counting = false;
     rig.request(1, 5, milliseconds(1));
     rig.request(1, 5, milliseconds(40));
@@ -966,34 +967,34 @@
 }
 
 TEST(Workers, DrainsActAtOnce) {
-    Rig rig(plainSettings(), 2);
-    WorkerList change;
-    change.entries = {Rig::entry("w0")};
+    EngineFixture rig(plainSettings(), 2);
+    EndpointUpdate change;
+    change.entries = {EngineFixture::entry("w0")};
     change.entries[0].availability = Availability::draining;
     rig.feed(change);
-    for (CustomerId c = 0; c < 5; ++c) rig.request(1, c);
-    for (const SendAttempt& s : rig.sends) EXPECT_EQ(s.worker, "w1");
-    WorkerList whole;
-    whole.scope = ListScope::full;
-    whole.entries = {Rig::entry("w0")};
+    for (TenantId c = 0; c < 5; ++c) rig.request(1, c);
+    for (const SendAttempt& s : rig.sends) EXPECT_EQ(s.endpoint, "w1");
+    EndpointUpdate whole;
+    whole.kind = UpdateKind::snapshot;
+    whole.entries = {EngineFixture::entry("w0")};
     rig.feed(whole);
     rig.sends.clear();
     rig.request(1, 9);
     ASSERT_EQ(rig.sends.size(), 1u);
-    EXPECT_EQ(rig.sends[0].worker, "w0");
+    EXPECT_EQ(rig.sends[0].endpoint, "w0");
 }
 
 TEST(Workers, AColdOneIsSentLittle) {
-    Rig rig(plainSettings(), 4);
+    EngineFixture rig(plainSettings(), 4);
     rig.now += milliseconds(1000);
-    WorkerList change;
-    change.entries = {Rig::entry("w3", 1)};
+    EndpointUpdate change;
+    change.entries = {EngineFixture::entry("w3", 1)};
     change.entries[0].startedAt = rig.now;
     rig.feed(change);
     int cold = 0;
-    for (CustomerId c = 0; c < 40; ++c) {
+    for (TenantId c = 0; c < 40; ++c) {
         rig.request(1, c);
-        cold += rig.sends.back().worker == "w3";
+        cold += rig.sends.back().endpoint == "w3";
         if (rig.sends.size() > 8) rig.end(rig.sends[rig.sends.size() - 9], 0, Outcome::ok, true);
         rig.advance(milliseconds(20));
     }
@@ -1003,20 +1004,20 @@
 
 TEST(Workers, ManyGatekeepersStartWithShortQueues) {
     Settings s = plainSettings();
-    s.gatekeepers = 11;
-    Rig rig(s, 2);
-    for (CustomerId c = 0; c < 30; ++c) rig.request(1, c);
-    EXPECT_EQ(rig.sends.size(), 2u);  // one at each worker, and so eleven over all gatekeepers
+    s.gatewayCount = 11;
+    EngineFixture rig(s, 2);
+    for (TenantId c = 0; c < 30; ++c) rig.request(1, c);
+    EXPECT_EQ(rig.sends.size(), 2u);  // one at each endpoint, and so eleven over all gateways
     EXPECT_EQ(rig.refusals.size(), 30 - rig.sends.size());
 }
 
-// What is harmless at one gatekeeper fills every queue when all do it: 100 of them with 10 attempts out each
-// hold 17 at every worker. Their first attempts show too late how full those are.
+// What is harmless at one gateway fills every queue when all do it: 100 of them with 10 attempts out each
+// hold 17 at every endpoint. Their first attempts show too late how full those are.
 TEST(Workers, ManyGatekeepersTogetherDoNotFillTheQueuesBeforeTheFirstAnswer) {
     Settings s = plainSettings();
-    s.gatekeepers = 100;
-    Rig rig(s, 60);
-    for (CustomerId c = 0; c < 12; ++c) rig.request(1, c);
+    s.gatewayCount = 100;
+    EngineFixture rig(s, 60);
+    for (TenantId c = 0; c < 12; ++c) rig.request(1, c);
     EXPECT_GE(rig.sends.size(), 2u);
     EXPECT_LE(rig.sends.size(), 4u);
     ASSERT_FALSE(rig.refusals.empty());
@@ -1025,32 +1026,32 @@
 
 TEST(Workers, OneSlowAnswerInFiveLowersTheLimitOnAttemptsOut) {
     Settings s = plainSettings();
-    Rig rig(s, 4);
+    EngineFixture rig(s, 4);
     for (int i = 0; i < 200; ++i) {
-        rig.request(1, static_cast<CustomerId>(100 + i));
+        rig.request(1, static_cast<TenantId>(100 + i));
         AttemptEnded e;
         e.request = rig.sends.back().request;
-        e.worker = rig.sends.back().worker;
+        e.endpoint = rig.sends.back().endpoint;
         e.elapsed = i % 5 == 0 ? milliseconds(400) : milliseconds(100);  // of an aim of 600
         e.closed = true;
         rig.feed(e);
         rig.advance(milliseconds(100));
     }
     const std::size_t before = rig.sends.size();
-    for (CustomerId c = 0; c < 12; ++c) rig.request(1, 400 + c);
+    for (TenantId c = 0; c < 12; ++c) rig.request(1, 400 + c);
     EXPECT_LE(rig.sends.size() - before, 3u);
 }
 
 TEST(Workers, FastErrorsPutOneAsideAndItComesBack) {
-    Rig rig(plainSettings(), 4);
+    EngineFixture rig(plainSettings(), 4);
     int bad = 0, late = 0;
-    for (CustomerId c = 0; c < 500; ++c) {
+    for (TenantId c = 0; c < 500; ++c) {
         const std::size_t before = rig.sends.size();
         rig.request(1, c);
         for (std::size_t i = before; i < rig.sends.size(); ++i) {
-            const bool fails = rig.sends[i].worker == "w1" && c < 200;
-            bad += rig.sends[i].worker == "w1" && c < 200;
-            late += rig.sends[i].worker == "w1" && c >= 200;
+            const bool fails = rig.sends[i].endpoint == "w1" && c < 200;
+            bad += rig.sends[i].endpoint == "w1" && c < 200;
+            late += rig.sends[i].endpoint == "w1" && c >= 200;
             rig.end(rig.sends[i], static_cast<int>(i - before), fails ? Outcome::error : Outcome::ok, !fails);
         }
         rig.advance(milliseconds(100));
@@ -1059,19 +1060,19 @@
     EXPECT_GE(late, 2);
 }
 
-// A worker short of connections turns away what it is sent while the others answer quickly: it is left alone,
-// and the gate stays open for the others.
+// An endpoint short of connections turns away what it is sent while the others answer quickly: it is left
+// alone, and the gate stays open for the others.
 TEST(Workers, OneThatTurnsAwayAmongQuickOnesDoesNotShutTheGate) {
     Settings s = plainSettings();
     s.plans.clear();
-    Rig rig(s);
+    EngineFixture rig(s);
     int toSick = 0;
     for (int i = 0; i < 400; ++i) {
         rig.sends.clear();
         rig.request();
         for (std::size_t k = 0; k < rig.sends.size() && k < 4; ++k) {
             const SendAttempt send = rig.sends[k];
-            const bool sick = send.worker == "w0";
+            const bool sick = send.endpoint == "w0";
             toSick += i >= 200 && sick;
             rig.end(send, static_cast<int>(k), sick ? Outcome::rejected : Outcome::ok, !sick);
         }
@@ -1081,38 +1082,40 @@
     EXPECT_LT(rig.refusals.size(), 4u);
 }
 
-// A worker that has gone leaves its place to a new one; a keyed request that may have run there stays in its
-// cell.
+// An endpoint that has gone leaves its place to a new one; a keyed request that may have run there stays in
+// its cell.
 TEST(Workers, AGoneOnesPlaceIsTakenAndItsCellStaysTheRequests) {
     Settings s = plainSettings();
-    s.classes[0].effect = Effect::keyed;
-    s.classes[0].group = Group::cell;
-    s.classes[0].repeatWindow = milliseconds(2500);
+    s.classes[0].idempotency = Idempotency::withKey;
+    s.classes[0].deduplicationScope = DeduplicationScope::cell;
+    s.classes[0].idempotencyWindow = milliseconds(2500);
     s.plans.clear();
-    Rig rig(s, 2);  // both in cell 0
+    EngineFixture rig(s, 2);  // both in cell 0
     rig.request();
     ASSERT_EQ(rig.sends.size(), 1u);
     const SendAttempt first = rig.sends[0];
-    WorkerList change;
-    change.entries = {Rig::entry(first.worker), Rig::entry(first.worker == "w0" ? "w1" : "w0")};
-    for (WorkerEntry& e : change.entries) e.availability = Availability::gone;
+    EndpointUpdate change;
+    change.entries = {EngineFixture::entry(first.endpoint),
+                      EngineFixture::entry(first.endpoint == "w0" ? "w1" : "w0")};
+    for (EndpointEntry& e : change.entries) e.availability = Availability::removed;
     rig.feed(change);
-    change.entries = {Rig::entry("n1", 1), Rig::entry("n2", 1), Rig::entry("n3", 1)};
+    change.entries = {EngineFixture::entry("n1", 1), EngineFixture::entry("n2", 1),
+                      EngineFixture::entry("n3", 1)};
     rig.feed(change);
     rig.end(first, 0, Outcome::error, false);
     EXPECT_EQ(rig.sends.size(), 1u);  // none of its cell is left
     EXPECT_EQ(rig.fails.size(), 1u);
 }
 
-TEST(Discovery, AsksWhereTheListIsNotPushedAndAgainAfterAFailure) {
+TEST(DiscoveryMode, AsksWhereTheListIsNotPushedAndAgainAfterAFailure) {
     Settings s = plainSettings();
-    s.discovery = Discovery::ask;
-    s.mustAsk = milliseconds(10'000);
-    Rig rig(s);
+    s.discovery = DiscoveryMode::poll;
+    s.maxPollInterval = milliseconds(10'000);
+    EngineFixture rig(s);
     ASSERT_EQ(rig.others.size(), 1u);
-    EXPECT_TRUE(std::holds_alternative<SubscribeList>(rig.others[0]));
-    WorkerList failed;
-    failed.scope = ListScope::failed;
+    EXPECT_TRUE(std::holds_alternative<WatchEndpoints>(rig.others[0]));
+    EndpointUpdate failed;
+    failed.kind = UpdateKind::failed;
     rig.feed(failed);
     rig.advance(milliseconds(2'500));  // the list counts as told after four times mustAsk at most
     EXPECT_EQ(rig.others.size(), 2u);
@@ -1122,9 +1125,9 @@
 
 TEST(Concurrency, AQuotaOfOpenAttemptsIsHeld) {
     Settings s = plainSettings();
-    s.plans[0] = Plan{};
-    s.plans[0].concurrency = 4;  // over two gatekeepers
-    Rig rig(s);
+    s.plans[0] = QuotaPlan{};
+    s.plans[0].concurrency = 4;  // over two gateways
+    EngineFixture rig(s);
     for (int i = 0; i < 6; ++i) rig.request();
     EXPECT_EQ(rig.sends.size(), 2u);
     rig.end(rig.sends[0], 0, Outcome::ok, true);
@@ -1136,9 +1139,9 @@
 TEST(Streams, AStartedStreamIsLeftAlone) {
     Settings s = plainSettings();
     s.classes[0].streamed = true;
-    Rig rig(s);
+    EngineFixture rig(s);
     const std::string id = rig.request();
-    rig.feed(StreamStarted{id, 0, rig.sends[0].worker, milliseconds(20)});
+    rig.feed(StreamStarted{id, 0, rig.sends[0].endpoint, milliseconds(20)});
     rig.advance(milliseconds(20'000));
     rig.end(rig.sends[0], 0, Outcome::reset, true);  // the break of a stream closes the request
     EXPECT_EQ(rig.sends.size(), 1u);
@@ -1146,15 +1149,15 @@
 }
 
 TEST(OddSizes, EveryRequestIsAnsweredAndCeilingsHold) {
-    for (const int gatekeepers : {1, 3, 5000})
-        for (const int entryPoints : {0, 1, 40, 9000})  // none, and more than there are gatekeepers
-            for (const bool mayCount : {false, true}) {
+    for (const int gatewayCount : {1, 3, 5000})
+        for (const int entryPoints : {0, 1, 40, 9000})  // none, and more than there are gateways
+            for (const bool counterEnabled : {false, true}) {
                 Settings s = plainSettings();
-                s.gatekeepers = gatekeepers;
-                s.mayCount = mayCount;
+                s.gatewayCount = gatewayCount;
+                s.counterEnabled = counterEnabled;
                 s.plans[0].ceilingRate = 4;
                 s.plans[0].ceilingBurst = 16;
-                Rig rig(s);
+                EngineFixture rig(s);
                 rig.advance(milliseconds(5000));
                 double sent = 0;
                 for (int i = 0; i < 200; ++i) {
@@ -1166,37 +1169,38 @@
                     rig.advance(milliseconds(100));
                 }
                 EXPECT_EQ(rig.sends.size() + rig.refusals.size() + rig.fails.size(), 200u);
-                // On the counter's word one gatekeeper may let in all that the quota allows.
-                EXPECT_LE(sent,
-                          (16 + 4 * 20) / (mayCount ? 1 : std::max(1.0, static_cast<double>(entryPoints))));
+                // On the counter's word one gateway may let in all that the quota allows.
+                EXPECT_LE(sent, (16 + 4 * 20) /
+                                    (counterEnabled ? 1 : std::max(1.0, static_cast<double>(entryPoints))));
                 if (entryPoints < 2) {
-                    EXPECT_GE(sent, 20) << gatekeepers << " gatekeepers";
+                    EXPECT_GE(sent, 20) << gatewayCount << " gatekeepers";
                 }
             }
 }
 
 TEST(OddSizes, ForeignPeerMessagesChangeNothing) {
-    Rig told(plainSettings()), untold(plainSettings());
-    for (CustomerId c = 0; c < 60; ++c) {
-        told.feed(PeerMessage{static_cast<int>(c) - 30, std::string(c * 17 % 300, static_cast<char>(c * 5))});
+    EngineFixture told(plainSettings()), untold(plainSettings());
+    for (TenantId c = 0; c < 60; ++c) {
+        told.feed(
+            GossipMessage{static_cast<int>(c) - 30, std::string(c * 17 % 300, static_cast<char>(c * 5))});
         told.request(1, c % 7);
         untold.request(1, c % 7);
     }
     EXPECT_EQ(told.refusals.size(), untold.refusals.size());
     ASSERT_EQ(told.sends.size(), untold.sends.size());
     for (std::size_t i = 0; i < told.sends.size(); ++i)
-        EXPECT_EQ(told.sends[i].worker, untold.sends[i].worker);
+        EXPECT_EQ(told.sends[i].endpoint, untold.sends[i].endpoint);
 }
 
 TEST(Determinism, SameEventsSameActions) {
-    Rig a(plainSettings()), b(plainSettings());
-    for (CustomerId c = 0; c < 30; ++c) {
+    EngineFixture a(plainSettings()), b(plainSettings());
+    for (TenantId c = 0; c < 30; ++c) {
         a.request(1, c);
         b.request(1, c);
     }
     ASSERT_EQ(a.sends.size(), b.sends.size());
-    for (std::size_t i = 0; i < a.sends.size(); ++i) EXPECT_EQ(a.sends[i].worker, b.sends[i].worker);
+    for (std::size_t i = 0; i < a.sends.size(); ++i) EXPECT_EQ(a.sends[i].endpoint, b.sends[i].endpoint);
 }
 
 }  // namespace
-}  // namespace slipshift
+}  // namespace gateway
