--- a/tests/limits_test.cpp
+++ b/tests/descriptor_limit_test.cpp
@@ -4,9 +4,9 @@
 #include <list>
 #include <ostream>
 
-#include "gate.h"
+#include "support/gateway_process.h"
 
-namespace weldstall::test {
+namespace gateway::net::test {
 namespace {
 
 // `sockets`: what the configuration says; `limit`: what the system lets the process have.
@@ -26,8 +26,8 @@
 
 class NetDescriptors : public testing::TestWithParam<Descriptors> {
 protected:
-    NetDescriptors() { customerId = customerOfAYoungSlice(); }
-    ~NetDescriptors() override { customerId = usual; }
+    NetDescriptors() { tenantId = customerOfAYoungSlice(); }
+    ~NetDescriptors() override { tenantId = usual; }
 
     static json settingsOf(const std::string& discovery) {
         json s = settings();
@@ -46,16 +46,16 @@
         for (int i = 0; i < 200; ++i) resting.push_back(gate.client());
     }
 
-    const std::string usual = customerId;
-    Server worker, counter, discovery{Server::kRefusing};
-    Gate gate{Targets{target("w", worker)}, settingsOf(GetParam().discovery),
-              [this](json& c) {
-                  c["limits"]["sockets"] = GetParam().sockets;
-                  c["mostPartialMs"] = 3600'000;  // those that say nothing stay, too
-                  c["counter"] = counter.address();
-                  c["discovery"] = discovery.address();
-              },
-              GetParam().limit};
+    const std::string usual = tenantId;
+    Server endpoint, counter, discovery{Server::kRefusing};
+    GatewayProcess gate{Targets{target("w", endpoint)}, settingsOf(GetParam().discovery),
+                        [this](json& c) {
+                            c["limits"]["sockets"] = GetParam().sockets;
+                            c["mostPartialMs"] = 3600'000;  // those that say nothing stay, too
+                            c["counter"] = counter.address();
+                            c["discovery"] = discovery.address();
+                        },
+                        GetParam().limit};
     std::list<Socket> resting;
 };
 
@@ -70,7 +70,7 @@
     Socket client = gate.client();
     std::string clock = request("load", "clock", 5900);
     client.write(clock.replace(clock.find("team"), 4, "free"));
-    ASSERT_TRUE(worker.waitReadable());  // it is out, and held until its time is up
+    ASSERT_TRUE(endpoint.waitReadable());  // it is out, and held until its time is up
     discovery.listen();
     EXPECT_NE(statusOf(client.message()), 200);
     ASSERT_TRUE(discovery.waitReadable(0));
@@ -86,7 +86,7 @@
     Socket count = counter.accept();
     EXPECT_TRUE(has(count.message(), "?add=1&"));
     count.write(ok("2"));
-    Socket at = worker.accept();
+    Socket at = endpoint.accept();
     EXPECT_TRUE(has(at.message(), "Request-Id: r"));
     at.write(ok("served"));
     EXPECT_EQ(statusOf(fresh.message()), 200);
@@ -107,4 +107,4 @@
 }
 
 }  // namespace
-}  // namespace weldstall::test
+}  // namespace gateway::net::test
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_client_test.cpp
@@ -8,10 +8,10 @@
 #include <queue>
 #include <vector>
 
-#include "gate.h"
-#include "net/call_schedule.h"
+#include "net/discovery/poll_schedule.h"
+#include "support/gateway_process.h"
 
-namespace weldstall::test {
+namespace gateway::net::test {
 namespace {
 
 using std::chrono::milliseconds;
@@ -25,11 +25,11 @@
 
 // ---- Moments ----------------------------------------------------------------------------------------
 
-TEST(Slots, TheNextOwnMomentIsAheadWithinAPeriodAndEverybodysOwn) {
+TEST(PollSlots, TheNextOwnMomentIsAheadWithinAPeriodAndEverybodysOwn) {
     for (const int n : {1, 3, 100, 300}) {
         for (const Duration period : {Duration(milliseconds(1500)), Duration(milliseconds(4500))}) {
             for (int self = 0; self < n; ++self) {
-                const Slots slots(self, n);
+                const PollSlots slots(self, n);
                 for (Time now = kDay; now < kDay + 2 * period; now += Duration(97'001)) {
                     const Duration wait = slots.until(now, period);
                     ASSERT_GT(wait, Duration::zero());
@@ -44,9 +44,9 @@
     }
 }
 
-TEST(Slots, OddNumbersOfTheSettingsDoNoHarm) {
+TEST(PollSlots, OddNumbersOfTheSettingsDoNoHarm) {
     for (const auto& [self, n] : {std::pair(-1, 3), {3, 3}, {5, 0}, {0, 0}}) {
-        const Duration wait = Slots(self, n).until(kDay, seconds(4));
+        const Duration wait = PollSlots(self, n).until(kDay, seconds(4));
         EXPECT_GT(wait, Duration::zero());
         EXPECT_LE(wait, seconds(4));
     }
@@ -58,14 +58,14 @@
 
 // When a call is begun that finds discovery well, which could be reached again from `back` on; the call
 // before is begun, or had its last word, at `from`, and every one before `back` ends in the same way.
-Time callAfter(End end, CallSchedule& schedule, Time from, Time back) {
+Time callAfter(End end, PollSchedule& schedule, Time from, Time back) {
     Time next{};
     switch (end) {
         case End::broken:  // the watch, and then the calls are refused
             next = from + schedule.afterEnd(from);
             break;
         case End::silent:
-            next = from + kMostSilent;
+            next = from + kMaxSilence;
             next += schedule.afterSilence(next);
             break;
         default:
@@ -105,20 +105,20 @@
     return next;
 }
 
-TEST(CallSchedule, AfterEveryEndAndAtEveryMomentOfReturnTheListIsKnownWithinItsTerm) {
+TEST(PollSchedule, AfterEveryEndAndAtEveryMomentOfReturnTheListIsKnownWithinItsTerm) {
     Duration worst{};
-    for (const Duration mustAsk : {Duration::zero(), Duration(seconds(1)), Duration(seconds(10))}) {
+    for (const Duration maxPollInterval : {Duration::zero(), Duration(seconds(1)), Duration(seconds(10))}) {
         for (int self = 0; self < 300; ++self) {
             const Time from = kDay + Duration(self * 41'003);
             for (const End end : kEnds) {
                 for (Duration down{}; down <= seconds(12); down += Duration(49'999)) {
-                    CallSchedule schedule = CallSchedule::asked(self, 300, mustAsk, 7);
+                    PollSchedule schedule = PollSchedule::poll_(self, 300, maxPollInterval, 7);
                     const Time back = from + down;
                     // A watch is not known to be silent before it has been.
-                    const bool lateSeen = end == End::silent && down < kMostSilent;
-                    const Duration call = lateSeen ? kMostCallAfterSilence : kMostCall;
+                    const bool lateSeen = end == End::silent && down < kMaxSilence;
+                    const Duration call = lateSeen ? kMaxCallTimeAfterSilence : kMaxCallTime;
                     const Duration known = callAfter(end, schedule, from, back) + call - back;
-                    ASSERT_LE(known, kListTerm)
+                    ASSERT_LE(known, kUpdateDeadline)
                         << static_cast<int>(end) << " " << self << " " << inSeconds(down);
                     worst = std::max(worst, known);
                 }
@@ -126,20 +126,21 @@
         }
     }
     std::cout << "worst: known " << inSeconds(worst)
-              << " s after discovery could be reached, of which the call " << inSeconds(kMostCall) << " s\n";
-    EXPECT_GT(worst, kListTerm - milliseconds(100));  // or it calls more often than it has to
+              << " s after discovery could be reached, of which the call " << inSeconds(kMaxCallTime)
+              << " s\n";
+    EXPECT_GT(worst, kUpdateDeadline - milliseconds(100));  // or it calls more often than it has to
 }
 
-TEST(CallSchedule, AnAgentIsCalledAgainAtOnce) {
+TEST(PollSchedule, AnAgentIsCalledAgainAtOnce) {
     Duration worst{};
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
         for (const End end : kEnds) {
             for (Duration down{}; down <= seconds(12); down += Duration(49'999)) {
-                CallSchedule schedule = CallSchedule::pushed(seed);
+                PollSchedule schedule = PollSchedule::push(seed);
                 const Duration wait = callAfter(end, schedule, kDay, kDay + down) - kDay - down;
                 // What waits unanswered is answered itself; a new call is made beside it all the same.
                 const bool waits = end == End::unanswered || end == End::silent;
-                ASSERT_LE(wait, waits ? kMostSilent + milliseconds(2) : kMostDialling + milliseconds(200));
+                ASSERT_LE(wait, waits ? kMaxSilence + milliseconds(2) : kMaxConnectTime + milliseconds(200));
                 if (end == End::refused || end == End::broken) worst = std::max(worst, wait);
             }
         }
@@ -148,29 +149,29 @@
 }
 
 // Also where the first one is turned away, in the first second after SIGHUP at the latest moment of all.
-TEST(CallSchedule, AfterAReloadTheNewDiscoveryIsCalledTwiceWithinTheTermIfNeedBe) {
+TEST(PollSchedule, AfterAReloadTheNewDiscoveryIsCalledTwiceWithinTheTermIfNeedBe) {
     for (int self = 0; self < 300; ++self) {
         for (Time at = kDay; at < kDay + seconds(5); at += Duration(49'999)) {
-            CallSchedule schedule = CallSchedule::asked(self, 300, seconds(10), 7);
+            PollSchedule schedule = PollSchedule::poll_(self, 300, seconds(10), 7);
             const Time first = at + schedule.afterReload(at);
-            ASSERT_LE(first + kMostCall, at + kReloadTerm - seconds(1));
+            ASSERT_LE(first + kMaxCallTime, at + kReloadDeadline - seconds(1));
             const Time second = first + milliseconds(5) + schedule.afterEnd(first + milliseconds(5));
             ASSERT_LE(second, at + seconds(3));
             ASSERT_GE(second, first + milliseconds(1000));  // it was turned away: not at once
         }
-        CallSchedule pushed = CallSchedule::pushed(7);
-        ASSERT_EQ(pushed.afterReload(kDay), Duration::zero());
+        PollSchedule push = PollSchedule::push(7);
+        ASSERT_EQ(push.afterReload(kDay), Duration::zero());
     }
 }
 
-TEST(CallSchedule, NeverAskedLessOftenThanTheSettingsWant) {
-    for (const Duration mustAsk : {seconds(1), seconds(2), seconds(4)}) {
+TEST(PollSchedule, NeverAskedLessOftenThanTheSettingsWant) {
+    for (const Duration maxPollInterval : {seconds(1), seconds(2), seconds(4)}) {
         for (int self = 0; self < 300; ++self) {
-            CallSchedule schedule = CallSchedule::asked(self, 300, mustAsk, 7);
+            PollSchedule schedule = PollSchedule::poll_(self, 300, maxPollInterval, 7);
             for (Time at = kDay; at < kDay + seconds(10); at += Duration(99'991)) {
-                ASSERT_LE(schedule.afterBegin(at), mustAsk);
-                ASSERT_LE(schedule.afterEnd(at), mustAsk);
-                ASSERT_LE(schedule.afterSilence(at), mustAsk);
+                ASSERT_LE(schedule.afterBegin(at), maxPollInterval);
+                ASSERT_LE(schedule.afterEnd(at), maxPollInterval);
+                ASSERT_LE(schedule.afterSilence(at), maxPollInterval);
             }
         }
     }
@@ -182,19 +183,20 @@
 // `mustAskInS` says to all of it, and a draw within a second after a watch that fell silent.
 class Drawn {
 public:
-    Drawn(Duration mustAsk, std::uint64_t seed) : backoff_(mustAsk / 2, mustAsk, seed) {}
+    Drawn(Duration maxPollInterval, std::uint64_t seed)
+        : backoff_(maxPollInterval / 2, maxPollInterval, seed) {}
     Duration afterEnd(Time) { return backoff_.next(); }
     Duration afterSilence(Time) { return backoff_.within(seconds(1)); }
     Duration afterReload(Time) { return Duration::zero(); }
     // Given up after 2.3 s, and let off from there.
-    Duration afterUnanswered(Time) { return kMostSilent + backoff_.next(); }
+    Duration afterUnanswered(Time) { return kMaxSilence + backoff_.next(); }
 
 private:
     Backoff backoff_;
 };
-class Scheduled : public CallSchedule {
+class Scheduled : public PollSchedule {
 public:
-    Scheduled(int self, int n, Duration mustAsk) : CallSchedule(asked(self, n, mustAsk, 7)) {}
+    Scheduled(int self, int n, Duration maxPollInterval) : PollSchedule(poll_(self, n, maxPollInterval, 7)) {}
     Duration afterUnanswered(Time now) const { return afterBegin(now); }
 };
 
@@ -203,11 +205,11 @@
     double latest = 0;  // known so long after discovery could be reached, in seconds
 };
 
-// 300 gatekeepers lose their watches at kDay (`how`: broken, silent, or moved by SIGHUP); discovery can be
+// 300 gateways lose their watches at kDay (`how`: broken, silent, or moved by SIGHUP); discovery can be
 // reached from `down` later. It serves 80 calls a second in turn, 20 wait, and more are turned away.
 enum class Loss { broken, unanswered, silent, moved };
-template <class Gatekeeper>
-Spread play(std::vector<Gatekeeper> fleet, Loss how, Duration down) {
+template <class DecisionEngine>
+Spread play(std::vector<DecisionEngine> fleet, Loss how, Duration down) {
     constexpr Duration kService = milliseconds(1000) / 80;
     constexpr int kQueue = 20;
     using Call = std::pair<Time, std::size_t>;
@@ -220,7 +222,7 @@
                 at += fleet[i].afterEnd(at);
                 break;
             case Loss::silent:
-                at += kMostSilent;
+                at += kMaxSilence;
                 at += fleet[i].afterSilence(at);
                 break;
             case Loss::moved:
@@ -310,11 +312,11 @@
     return s;
 }
 
-std::string wholeList(int index, const Targets& targets) {
-    return json{{"index", index}, {"snapshot", true}, {"endpoints", targets}}.dump();
+std::string wholeList(int index, const Targets& endpoints) {
+    return json{{"index", index}, {"snapshot", true}, {"endpoints", endpoints}}.dump();
 }
 
-// A gatekeeper that knows one records server, which holds all it gets, and a second one that only discovery
+// A gateway that knows one endpoint, which holds all it gets, and a second one that only discovery
 // can tell it of.
 struct Site {
     explicit Site(const std::string& how, Server* discovery = nullptr)
@@ -331,10 +333,10 @@
     void expectTold() {
         for (int i = 0; i < 100; ++i) {
             Socket client = gate.client();
-            std::string free = request("load", "t" + std::to_string(++asked), 1000);
+            std::string free = request("load", "t" + std::to_string(++poll_), 1000);
             client.write(free.replace(free.find("team"), 4, "free"));  // no quota
             pollfd either[2] = {{client.fd(), POLLIN, 0}, {told.fd(), POLLIN, 0}};
-            if (::poll(either, 2, kPatienceMs) <= 0) break;
+            if (::poll(either, 2, kTestTimeoutMs) <= 0) break;
             if (either[1].revents == 0) continue;
             Socket at = told.accept();
             at.message();
@@ -344,8 +346,8 @@
     }
 
     Server held, told;
-    Gate gate;
-    int asked = 0;
+    GatewayProcess gate;
+    int poll_ = 0;
 };
 
 // Ends of a call, by what its peer does with it.
@@ -398,9 +400,9 @@
 
 class DiscoveryCalls : public testing::TestWithParam<std::string> {
 protected:
-    bool asks() const { return GetParam() == "ask"; }
+    bool polls() const { return GetParam() == "ask"; }
     // Less than what has to pass until a change counts; more than what a call may wait for its moment.
-    int within() const { return asks() ? 5900 : 3900; }
+    int within() const { return polls() ? 5900 : 3900; }
 
     // Lets the calls of each site end in its own way, and expects the next one before a request that came at
     // that moment has run out: both are timed in one process, so a slow machine makes both late.
@@ -593,9 +595,9 @@
 }
 
 // Until it is: on the list that it was given, whatever becomes of its calls.
-void expectReady(const Gate& gate) {
+void expectReady(const GatewayProcess& gate) {
     Socket client = gate.client();
-    for (int i = 0; i < kPatienceMs / 10; ++i) {
+    for (int i = 0; i < kTestTimeoutMs / 10; ++i) {
         if (readiness(client) == 200) return;
         ::poll(nullptr, 0, 10);
     }
@@ -605,8 +607,8 @@
 TEST_P(DiscoveryCalls, ANewProcessIsReadyWhateverBecomesOfItsCalls) {
     for (const std::string& end : kCallEnds) {
         Failing failing(end);
-        Server worker;
-        Gate gate(Targets{target("w", worker)}, settingsOf(GetParam()), [&](json& c) {
+        Server endpoint;
+        GatewayProcess gate(Targets{target("w", endpoint)}, settingsOf(GetParam()), [&](json& c) {
             c["discovery"] = failing.server.address();
             c["listWaitMs"] = 500;
         });
@@ -618,13 +620,13 @@
 // A quarter of a fleet that is restarted at once, before one discovery that says nothing or turns all away.
 TEST_P(DiscoveryCalls, ManyThatStartAtOnceAreAllReady) {
     for (const bool turnsAway : {false, true}) {
-        Server worker, discovery;
-        std::list<Gate> gates;
+        Server endpoint, discovery;
+        std::list<GatewayProcess> gates;
         for (int i = 0; i < 12; ++i) {
             json s = settingsOf(GetParam());
             s["balancers"] = 12;
             s["me"] = i;
-            gates.emplace_back(Targets{target("w", worker)}, s, [&](json& c) {
+            gates.emplace_back(Targets{target("w", endpoint)}, s, [&](json& c) {
                 c["discovery"] = discovery.address();
                 c["listWaitMs"] = 500;
             });
@@ -634,22 +636,22 @@
             calls.push_back(discovery.accept());
             if (turnsAway) calls.back().write(kTurnedAway);
         }
-        for (const Gate& gate : gates) expectReady(gate);
+        for (const GatewayProcess& gate : gates) expectReady(gate);
     }
 }
 
-// One that knows of no records server waits for a list, but not for ever.
+// One that knows of no endpoint waits for a list, but not for ever.
 TEST_P(DiscoveryCalls, AnEmptyListIsWaitedForAndNotForEver) {
     for (const bool patient : {true, false}) {
-        Gate gate(Targets{}, settingsOf(GetParam()),
-                  [&](json& c) { c["emptyWaitMs"] = patient ? 3600'000 : 1; });
+        GatewayProcess gate(Targets{}, settingsOf(GetParam()),
+                            [&](json& c) { c["emptyWaitMs"] = patient ? 3600'000 : 1; });
         Socket call = gate.discovery.accept();
         call.message();
         if (patient) {
             Socket client = gate.client();
             EXPECT_EQ(readiness(client), 503);
-            Server worker;
-            call.write(kHead + listLine(42, false, {target("w", worker)}));
+            Server endpoint;
+            call.write(kHead + listLine(42, false, {target("w", endpoint)}));
         }
         expectReady(gate);
     }
@@ -658,7 +660,7 @@
                               {"seed", "1"},
                               {"settings", settings()}}
                              .dump())
-                  .emptyWait,
+                  .emptyListWait,
               seconds(6));  // what discovery has counts then
 }
 
@@ -676,4 +678,4 @@
 }
 
 }  // namespace
-}  // namespace weldstall::test
+}  // namespace gateway::net::test
--- a/tests/crossing_test.cpp
+++ b/tests/event_race_test.cpp
@@ -1,31 +1,31 @@
 // Moments at which an answer, a close, a list or a signal comes between two steps: each is forced by a peer
-// that holds, closes or resets just there, or by a gatekeeper that is stopped while its peers act.
+// that holds, closes or resets just there, or by a gateway that is stopped while its peers act.
 #include <gtest/gtest.h>
 
 #include <list>
 
-#include "gate.h"
-#include "net/timers.h"
+#include "net/transport/timer_queue.h"
+#include "support/gateway_process.h"
 
-namespace weldstall::test {
+namespace gateway::net::test {
 namespace {
 
 const std::string kWatchHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-// ---- The list of records servers --------------------------------------------------------------------
+// ---- The list of endpoints --------------------------------------------------------------------
 
 // A line that ends inside an object is no end of it; nor is a bracket inside a text.
 TEST(CrossingList, ObjectsComeIndentedInPiecesOrSeveralAtOnce) {
     Server a, b;
     json s = settings();
     s["rules"]["drainGraceS"] = 600;  // the list alone keeps attempts away from a
-    Gate gate(Targets{target("a", a)}, s);
+    GatewayProcess gate(Targets{target("a", a)}, s);
     Socket watch = gate.discovery.accept();
     watch.message();
     json named = target("b", b);
     named["note"] = "}{ \\\" ]";
-    const auto list = [](int index, const Targets& targets) {
-        return json{{"index", index}, {"snapshot", true}, {"endpoints", targets}};
+    const auto list = [](int index, const Targets& endpoints) {
+        return json{{"index", index}, {"snapshot", true}, {"endpoints", endpoints}};
     };
     const std::string indented = list(43, {named}).dump(2);
     watch.write(kWatchHead + chunk("\n") + chunk(indented.substr(0, 40)) +
@@ -47,8 +47,8 @@
 
 // What can't be read changes nothing, and the next watch asks from the last good version.
 TEST(CrossingList, AnUnreadableOneEndsItsWatchAndTheNextAsksFromTheLastGoodVersion) {
-    Server worker;
-    Gate gate(Targets{target("w", worker)});
+    Server endpoint;
+    GatewayProcess gate(Targets{target("w", endpoint)});
     int index = 42;
     for (const std::string& spoilt :
          {std::string("noise\n"), std::string("{\"index\": 50, \"snapshot\"}\n"),
@@ -65,7 +65,7 @@
     }
     Socket client = gate.client();
     client.write(request("load", "r"));
-    Socket at = worker.accept();
+    Socket at = endpoint.accept();
     at.message();
     at.write(ok("served"));
     EXPECT_EQ(statusOf(client.message()), 200);
@@ -74,8 +74,8 @@
 // Its last word counts, not a window that began before it: 2.3 s after that, so before a request that came
 // just behind it runs out after 3.9 s, another watch is open.
 TEST(CrossingList, AWatchThatFallsSilentRightAfterAWordIsOpenedAnewInTime) {
-    Server worker;
-    Gate gate(Targets{target("w", worker)});
+    Server endpoint;
+    GatewayProcess gate(Targets{target("w", endpoint)});
     Socket watch = gate.discovery.accept();
     watch.message();
     watch.write(kWatchHead + chunk("\n"));
@@ -90,7 +90,7 @@
     json s = settings();
     s["discovery"] = "ask";
     s["rules"]["mustAskInS"] = 3600;
-    Gate gate(Targets{}, s);
+    GatewayProcess gate(Targets{}, s);
     Socket watch = gate.discovery.accept();
     watch.message();
     watch.write(kWatchHead + chunk("\n"));
@@ -114,9 +114,9 @@
 
 // What the agent has counts as told from the first moment of a process: its list is waited for.
 TEST(CrossingList, ANewProcessIsReadyOnceItsAgentToldWhatItHas) {
-    Server worker;
+    Server endpoint;
     const auto waits = [](int ms) { return [ms](json& c) { c["listWaitMs"] = ms; }; };
-    Gate gate(Targets{target("w", worker)}, settings(), waits(3600'000));
+    GatewayProcess gate(Targets{target("w", endpoint)}, settings(), waits(3600'000));
     Socket watch = gate.discovery.accept();
     watch.message();
     Socket client = gate.client();
@@ -125,7 +125,7 @@
     while (readiness(client) != 200)
         ;
     // One that says nothing, as while discovery is down, keeps nobody waiting for long.
-    Gate silent(Targets{target("w", worker)}, settings(), waits(1));
+    GatewayProcess silent(Targets{target("w", endpoint)}, settings(), waits(1));
     Socket other = silent.client();
     while (readiness(other) != 200)
         ;
@@ -136,18 +136,19 @@
 // A counter that is asked and holds its answer; who leaves meanwhile is not sent on.
 class CrossingCounter : public testing::Test {
 protected:
-    CrossingCounter() { customerId = customerOfAYoungSlice(); }
-    ~CrossingCounter() override { customerId = usual; }
+    CrossingCounter() { tenantId = customerOfAYoungSlice(); }
+    ~CrossingCounter() override { tenantId = usual; }
 
-    const std::string usual = customerId;
+    const std::string usual = tenantId;
     static json counted() {
         json s = settings();
         s["domain"] = {{"mayCount", true}, {"counterTimeoutS", 20}, {"maxUnits", 4}};
         for (json& c : s["classes"]) c["aimS"] = c["deadlineS"] = 400;  // the wait is a share of the aim
         return s;
     }
-    Server worker, counter;
-    Gate gate{Targets{target("w", worker)}, counted(), [this](json& c) { c["counter"] = counter.address(); }};
+    Server endpoint, counter;
+    GatewayProcess gate{Targets{target("w", endpoint)}, counted(),
+                        [this](json& c) { c["counter"] = counter.address(); }};
 };
 
 TEST_F(CrossingCounter, OneThatSentMuchAheadAndLeftIsSeenToHaveLeftAndNotSentOn) {
@@ -165,29 +166,30 @@
     other.write(request("load", "r2", 100'000));
     EXPECT_TRUE(has(at.message(), "?add=1&"));
     at.write(ok("2"));  // not the first in its slice: the closed one is not read
-    Socket link = worker.accept();
+    Socket link = endpoint.accept();
     EXPECT_TRUE(has(link.message(), "Request-Id: r2"));  // and never r1, nor what stood behind it
     link.write(ok("served"));
     EXPECT_EQ(statusOf(other.message()), 200);
-    EXPECT_FALSE(worker.waitReadable(0));
+    EXPECT_FALSE(endpoint.waitReadable(0));
 }
 
 // Its connection is still coming up: what never went out draws nothing from the quota and never will go out,
 // also where no attempt may be called off.
 TEST_F(CrossingCounter, OneThatLeftWhileItsConnectionCameUpIsNotSentOnAndItsChargeGoesBack) {
-    for (const bool mayCancel : {true, false}) {
+    for (const bool cancellationAllowed : {true, false}) {
         Server full(0);  // its queue takes one connection; the next does not come up until that is accepted
         Socket plug = connectTo(full.port);
         json s = counted();
-        s["allowed"]["cancel"] = mayCancel;
+        s["allowed"]["cancel"] = cancellationAllowed;
         Server count;
-        Gate dialling(Targets{target("w", full)}, s, [&](json& c) { c["counter"] = count.address(); });
+        GatewayProcess dialling(Targets{target("w", full)}, s,
+                                [&](json& c) { c["counter"] = count.address(); });
         Socket client = dialling.client();
         client.write(request("spend", "r1", 100'000, "x"));
         Socket at = count.accept();
         EXPECT_TRUE(has(at.message(), "?add=1&"));
         at.write(ok("2"));
-        Socket probe = dialling.client();  // answered in order: the request before is being dialled by then
+        Socket probe = dialling.client();  // answered in order: the request before is being connected by then
         probe.write("GET /-/ready HTTP/1.1\r\n\r\n");
         probe.message();
         client.close();
@@ -210,11 +212,11 @@
 // The request is found before the end of the connection that would carry it: both have come by then.
 TEST(CrossingIdle, OneWhoseEndHasComeButIsNotReadYetCarriesNoUnsafeRequest) {
     for (const bool reset : {false, true}) {
-        Server worker;
-        Gate gate(Targets{target("w", worker)});
+        Server endpoint;
+        GatewayProcess gate(Targets{target("w", endpoint)});
         Socket client = gate.client();
         client.write(request("load", "r1"));
-        Socket at = worker.accept();
+        Socket at = endpoint.accept();
         at.message();
         at.write(ok("one"));
         EXPECT_EQ(statusOf(client.message()), 200);
@@ -222,7 +224,7 @@
             client.write(request("spend", "r2", 8000, "x"));
             reset ? at.reset() : at.close();
         });
-        Socket fresh = worker.accept();
+        Socket fresh = endpoint.accept();
         EXPECT_TRUE(has(fresh.message(), "Request-Id: r2"));
         fresh.write(ok("two"));
         EXPECT_EQ(statusOf(client.message()), 200);
@@ -231,16 +233,16 @@
 
 // The second answer comes when the next request is on its way: on the same connection it would be served.
 TEST(CrossingIdle, ASecondAnswerThatComesLateIsNoOtherRequests) {
-    Server worker;
-    Gate gate(Targets{target("w", worker)}, settings(), [](json& c) { c["restMs"] = 3600'000; });
+    Server endpoint;
+    GatewayProcess gate(Targets{target("w", endpoint)}, settings(), [](json& c) { c["restMs"] = 3600'000; });
     Socket client = gate.client();
     client.write(request("load", "r1"));
-    Socket at = worker.accept();
+    Socket at = endpoint.accept();
     at.message();
     at.write(ok("one"));
     EXPECT_EQ(bodyOf(client.message()), "one");
     client.write(request("load", "r2"));
-    Socket fresh = worker.accept();
+    Socket fresh = endpoint.accept();
     fresh.message();
     at.write(ok("one"));
     EXPECT_TRUE(at.atEnd());  // unasked: the connection is of no further use
@@ -252,8 +254,8 @@
 
 // A request that crosses the end of its idle connection is sent once more: somebody still listens then.
 TEST(CrossingShutdown, IdleConnectionsEndWhileNewOnesAreStillTaken) {
-    Server worker;
-    Gate gate(Targets{target("w", worker)}, settings(), [](json& c) {
+    Server endpoint;
+    GatewayProcess gate(Targets{target("w", endpoint)}, settings(), [](json& c) {
         c["stillListenMs"] = 3600'000;
         c["idleStaysMs"] = 1;
     });
@@ -263,7 +265,7 @@
     EXPECT_TRUE(idle.atEnd());
     Socket again = gate.client();
     again.write(request("spend", "r", 8000, "x"));
-    Socket at = worker.accept();
+    Socket at = endpoint.accept();
     at.message();
     at.write(ok("served"));
     const std::string answer = again.message();
@@ -273,13 +275,13 @@
 
 // Whatever the file says while it drains, what it has taken is answered, and the old peers stay.
 TEST(CrossingShutdown, ASighupWhileItDrainsWithAFileThatCantBeReadChangesNothing) {
-    Server worker, next;
-    Gate gate(Targets{target("w", worker)});
+    Server endpoint, next;
+    GatewayProcess gate(Targets{target("w", endpoint)});
     Socket watch = gate.discovery.accept();
     watch.message();
     Socket client = gate.client(), probe = gate.client();
     client.write(request("spend", "r", 8000, "x"));
-    Socket at = worker.accept();
+    Socket at = endpoint.accept();
     at.message();
     gate.terminate();
     while (readiness(probe) == 200)
@@ -296,12 +298,12 @@
 
 // What the last answer settles goes to the counter soon after it: not before the process has ended.
 TEST(CrossingShutdown, WhatTheLastAnswerCostIsStillSettled) {
-    Server worker, counter;
+    Server endpoint, counter;
     json s = settings();
     s["domain"] = {{"mayCount", true}, {"counterTimeoutS", 20}, {"maxUnits", 4}, {"postPaid", true}};
     s["contracts"][0] = {{"name", "team"}, {"perSecond", 8}, {"depth", 4}};  // slices of half a second
     for (json& c : s["classes"]) c["aimS"] = c["deadlineS"] = 400;
-    Gate gate(Targets{target("w", worker)}, s, [&](json& c) {
+    GatewayProcess gate(Targets{target("w", endpoint)}, s, [&](json& c) {
         c["counter"] = counter.address();
         c["stillListenMs"] = c["idleStaysMs"] = 1;
     });
@@ -310,7 +312,7 @@
     Socket at = counter.accept();
     EXPECT_TRUE(has(at.message(), "?add=1&"));
     at.write(ok("2"));
-    Socket link = worker.accept();
+    Socket link = endpoint.accept();
     link.message();
     gate.terminate();
     EXPECT_THROW(for (;;) gate.client(), std::runtime_error);  // until it listens no more
@@ -321,7 +323,7 @@
     std::optional<std::string> call;
     while (!call) {
         pollfd either[2] = {{at.fd(), POLLIN, 0}, {counter.fd(), POLLIN, 0}};
-        ASSERT_GT(::poll(either, 2, kPatienceMs), 0);
+        ASSERT_GT(::poll(either, 2, kTestTimeoutMs), 0);
         if (either[1].revents != 0) at = counter.accept();
         call = at.readMessage();
         if (!call) at.close();
@@ -335,8 +337,9 @@
 
 // Half a first request does not buy the time that its sender was silent before: both are ended together.
 TEST(CrossingClients, HalfARequestIsEndedByWhenItsConnectionCame) {
-    Server worker;
-    Gate gate(Targets{target("w", worker)}, settings(), [](json& c) { c["mostPartialMs"] = 1500; });
+    Server endpoint;
+    GatewayProcess gate(Targets{target("w", endpoint)}, settings(),
+                        [](json& c) { c["mostPartialMs"] = 1500; });
     Socket late = gate.client(), early = gate.client(), probe = gate.client();
     EXPECT_EQ(readiness(probe), 200);
     early.write("GET /load HTTP/1.1\r\nHost:");
@@ -367,4 +370,4 @@
 }
 
 }  // namespace
-}  // namespace weldstall::test
+}  // namespace gateway::net::test
--- a/tests/net_test.cpp
+++ b/tests/gateway_server_test.cpp
@@ -1,23 +1,23 @@
-// The real gatekeeper over loopback sockets: a forked process, and peers that the tests script.
+// The real gateway over loopback sockets: a forked process, and peers that the tests script.
 #include <gtest/gtest.h>
 
 #include <list>
 #include <vector>
 
-#include "gate.h"
-#include "net/backoff.h"
-#include "net/counter_client.h"
-#include "net/targets.h"
+#include "net/counter/counter_client.h"
+#include "net/discovery/endpoint_list.h"
+#include "net/transport/backoff.h"
+#include "support/gateway_process.h"
 
-namespace weldstall::test {
+namespace gateway::net::test {
 namespace {
 
 TEST(NetGate, ForwardsUnchangedAndAnswersWithTheWorkersBody) {
-    Server worker;
-    Gate gate(Targets{target("w", worker)});
+    Server endpoint;
+    GatewayProcess gate(Targets{target("w", endpoint)});
     Socket client = gate.client();
     client.write(request("change", "r1", 8000, "gold=5"));
-    Socket at = worker.accept();
+    Socket at = endpoint.accept();
     const std::string got = at.message();
     EXPECT_TRUE(has(got, "POST /change?slot=7 HTTP/1.1\r\n")) << got;
     EXPECT_TRUE(has(got, "Request-Id: r1\r\n") && has(got, "Idempotency-Key: k-r1\r\n")) << got;
@@ -34,8 +34,8 @@
 }
 
 TEST(NetGate, OddRequestsAreAnsweredHereAndNeverForwarded) {
-    Server worker;
-    Gate gate(Targets{target("w", worker)});
+    Server endpoint;
+    GatewayProcess gate(Targets{target("w", endpoint)});
     const auto changed = [](std::string text, const std::string& from, const std::string& to) {
         return text.replace(text.find(from), from.size(), to);
     };
@@ -66,7 +66,7 @@
         Socket client = gate.client();
         client.write(text);
         if (status == 200) {
-            Socket at = worker.accept();
+            Socket at = endpoint.accept();
             at.message();
             at.write(ok("ok"));
         }
@@ -75,15 +75,15 @@
             EXPECT_TRUE(client.atEnd());
         }
     }
-    EXPECT_FALSE(worker.waitReadable(0));
+    EXPECT_FALSE(endpoint.waitReadable(0));
 }
 
 TEST(NetGate, AnIdInHandIsNotTakenTwice) {
-    Server worker;
-    Gate gate(Targets{target("w", worker)});
+    Server endpoint;
+    GatewayProcess gate(Targets{target("w", endpoint)});
     Socket first = gate.client(), second = gate.client();
     first.write(request("load", "same"));
-    Socket at = worker.accept();
+    Socket at = endpoint.accept();
     at.message();
     second.write(request("load", "same"));
     EXPECT_EQ(statusOf(second.message()), 400);
@@ -92,17 +92,17 @@
 }
 
 TEST(NetGate, ARefusedConnectionNeverRanSoAnUnsafeRequestGoesElsewhere) {
-    auto gone = std::make_unique<Server>();
-    Server worker;
-    const json dead = target("dead", *gone);
-    gone.reset();
-    Gate gate(Targets{dead, target("w", worker)});
-    // Whichever worker comes first, every request is served by the one that lives, once.
+    auto onDisconnect = std::make_unique<Server>();
+    Server endpoint;
+    const json dead = target("dead", *onDisconnect);
+    onDisconnect.reset();
+    GatewayProcess gate(Targets{dead, target("w", endpoint)});
+    // Whichever endpoint comes first, every request is served by the one that lives, once.
     std::list<Socket> connections;
     for (int i = 0; i < 4; ++i) {
         Socket client = gate.client();
         client.write(request("spend", "r" + std::to_string(i), 8000, "x"));
-        if (connections.empty()) connections.push_back(worker.accept());
+        if (connections.empty()) connections.push_back(endpoint.accept());
         EXPECT_TRUE(has(connections.front().message(), "Request-Id: r" + std::to_string(i)));
         connections.front().write(ok("served"));
         EXPECT_EQ(statusOf(client.message()), 200);
@@ -111,14 +111,14 @@
 
 TEST(NetGate, ABreakAfterTheRequestWasWrittenMayHaveRunAndIsNotResent) {
     Server a, b;
-    Gate gate(Targets{target("a", a), target("b", b)});
+    GatewayProcess gate(Targets{target("a", a), target("b", b)});
     for (const std::string& said :
          {std::string(), std::string("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"),
           std::string("HTTP/1.1 200 OK\r\n\r\nno length"), std::string("garbage\r\n\r\n")}) {
         Socket client = gate.client();
         client.write(request("spend", "r" + std::to_string(said.size()), 8000, "x"));
         pollfd both[] = {{a.fd(), POLLIN, 0}, {b.fd(), POLLIN, 0}};
-        ASSERT_GT(::poll(both, 2, kPatienceMs), 0);
+        ASSERT_GT(::poll(both, 2, kTestTimeoutMs), 0);
         Server& used = both[0].revents != 0 ? a : b;
         Socket at = used.accept();
         at.message();
@@ -134,11 +134,11 @@
 
 TEST(NetGate, TurnedAwayIsNeverRanAndGoesToTheOther) {
     Server a, b;
-    Gate gate(Targets{target("a", a), target("b", b)});
+    GatewayProcess gate(Targets{target("a", a), target("b", b)});
     Socket client = gate.client();
     client.write(request("spend", "r", 8000, "x"));
     pollfd both[] = {{a.fd(), POLLIN, 0}, {b.fd(), POLLIN, 0}};
-    ASSERT_GT(::poll(both, 2, kPatienceMs), 0);
+    ASSERT_GT(::poll(both, 2, kTestTimeoutMs), 0);
     const bool first = both[0].revents != 0;
     Socket full = (first ? a : b).accept();
     full.message();
@@ -150,40 +150,40 @@
 }
 
 TEST(NetGate, AnIdleConnectionThatEndedOrSpokeUnaskedIsNotUsedAgain) {
-    Server worker;
-    Gate gate(Targets{target("w", worker)});
+    Server endpoint;
+    GatewayProcess gate(Targets{target("w", endpoint)});
     Socket client = gate.client();
     client.write(request("load", "r1"));
-    Socket at = worker.accept();
+    Socket at = endpoint.accept();
     at.message();
     at.write(ok("one"));
     EXPECT_EQ(bodyOf(client.message()), "one");
     at.write(ok("nobody asked"));
-    EXPECT_TRUE(at.atEnd());  // the gatekeeper dropped it
+    EXPECT_TRUE(at.atEnd());  // the gateway dropped it
     client.write(request("load", "r2"));
-    Socket fresh = worker.accept();
+    Socket fresh = endpoint.accept();
     fresh.message();
     fresh.write(ok("two"));
     EXPECT_EQ(bodyOf(client.message()), "two");
 }
 
 TEST(NetGate, AClientThatLeavesEndsItsAttempt) {
-    Server worker;
-    Gate gate(Targets{target("w", worker)});
+    Server endpoint;
+    GatewayProcess gate(Targets{target("w", endpoint)});
     Socket client = gate.client();
     client.write(request("load", "r"));
-    Socket at = worker.accept();
+    Socket at = endpoint.accept();
     at.message();
     client.close();
     EXPECT_TRUE(at.atEnd());
 }
 
 TEST(NetGate, ASilentWorkerEndsByTheDeadline) {
-    Server worker;
-    Gate gate(Targets{target("w", worker)});
+    Server endpoint;
+    GatewayProcess gate(Targets{target("w", endpoint)});
     Socket client = gate.client();
     client.write(request("spend", "r", 1500, "x"));
-    Socket at = worker.accept();
+    Socket at = endpoint.accept();
     at.message();
     const int status = statusOf(client.message());  // it may have run: failed, not refused
     EXPECT_EQ(status, 502);
@@ -191,11 +191,11 @@
 }
 
 TEST(NetGate, AWorkerThatIsCutOffLosesItsIdleConnections) {
-    Server worker;
-    Gate gate(Targets{target("w", worker)});
+    Server endpoint;
+    GatewayProcess gate(Targets{target("w", endpoint)});
     Socket clients[] = {gate.client(), gate.client()};
     for (Socket& c : clients) c.write(request("load", c.fd() == clients[0].fd() ? "r1" : "r2"));
-    Socket links[] = {worker.accept(), worker.accept()};
+    Socket links[] = {endpoint.accept(), endpoint.accept()};
     for (Socket& link : links) link.message();
     for (Socket& link : links) link.write(ok("x"));
     for (Socket& c : clients) c.message();
@@ -209,15 +209,15 @@
 
 // Beast 1.74 forgets its limit where the body begins in the same read as the head: 3 GB would be taken in.
 TEST(NetGate, AnAnswerThatAnnouncesTooMuchIsSpoiltAtOnceAndAnotherIsAsked) {
-    Server worker;
-    Gate gate(Targets{target("w", worker)});
+    Server endpoint;
+    GatewayProcess gate(Targets{target("w", endpoint)});
     Socket client = gate.client();
     client.write(request("load", "r"));
-    Socket at = worker.accept();
+    Socket at = endpoint.accept();
     at.message();
     at.write("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + std::string(3000, 'x'));
     EXPECT_FALSE(at.readSome());
-    Socket again = worker.accept();
+    Socket again = endpoint.accept();
     again.message();
     again.write(ok("well"));
     EXPECT_EQ(bodyOf(client.message()), "well");
@@ -226,23 +226,23 @@
 // A head that does not end, a body that stops short: the connection says nothing more, and there is time for
 // another attempt. Interim answers are none of these, and noise is no load report.
 TEST(NetGate, AnAnswerThatHasBegunAndDoesNotEndLeavesTimeForAnother) {
-    Server worker;
-    Gate gate(Targets{target("w", worker)});
+    Server endpoint;
+    GatewayProcess gate(Targets{target("w", endpoint)});
     Socket client = gate.client();
     client.write(request("load", "r"));
     for (const char* begun : {"HTTP/1.1 200 OK\r\nX: ", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab"}) {
-        Socket at = worker.accept();
+        Socket at = endpoint.accept();
         at.message();
         at.write(begun);
         EXPECT_TRUE(at.atEnd());
     }
-    Socket last = worker.accept();
+    Socket last = endpoint.accept();
     last.message();
     const std::string interim = "HTTP/1.1 103 Early Hints\r\n\r\n";
     last.write(interim + interim + ok("well", "Server-Load: rif=nan\r\n"));
     EXPECT_EQ(bodyOf(client.message()), "well");
     client.write(request("load", "r2"));
-    Socket next = last.waitReadable() ? std::move(last) : worker.accept();
+    Socket next = last.waitReadable() ? std::move(last) : endpoint.accept();
     next.message();
     next.write(ok("two", "Server-Load: rif=-1e300,rif=3x,rif=inf\r\n"));
     EXPECT_EQ(bodyOf(client.message()), "two");
@@ -250,25 +250,25 @@
 
 // What is said before the request is written answers nothing.
 TEST(NetGate, AnAnswerAheadOfItsRequestIsNotServed) {
-    Server worker;
-    Gate gate(Targets{target("w", worker)});
+    Server endpoint;
+    GatewayProcess gate(Targets{target("w", endpoint)});
     Socket client = gate.client();
     client.write(request("load", "r1"));
-    Socket at = worker.accept();
+    Socket at = endpoint.accept();
     at.message();
     at.write(ok("one") + ok("one"));  // a second copy right behind
     EXPECT_EQ(bodyOf(client.message()), "one");
     EXPECT_TRUE(at.atEnd());
     client.write(request("load", "r2"));
-    Socket fresh = worker.accept();
+    Socket fresh = endpoint.accept();
     fresh.message();
     fresh.write(ok("two"));
     EXPECT_EQ(bodyOf(client.message()), "two");
 }
 
 TEST(NetGate, WhatIsOutOfRangeOrHidesAnotherRequestIsAnsweredHere) {
-    Server worker;
-    Gate gate(Targets{target("w", worker)});
+    Server endpoint;
+    GatewayProcess gate(Targets{target("w", endpoint)});
     const std::string inner = request("load", "hidden");
     const auto framed = [&](const std::string& headers) {
         std::string text = request("change", "r", 8000, "");
@@ -293,14 +293,14 @@
         EXPECT_EQ(statusOf(client.message()), status) << text;
         EXPECT_TRUE(client.atEnd()) << text;
     }
-    EXPECT_FALSE(worker.waitReadable(0));
+    EXPECT_FALSE(endpoint.waitReadable(0));
 }
 
 TEST(NetDiscovery, ReconnectsWithTheVersionItHasAndAFullListRemovesWhatItLacks) {
     Server a, b;
     json s = settings();
     s["rules"]["drainGraceS"] = 600;  // the list alone keeps attempts away from a
-    Gate gate(Targets{target("a", a)}, s);
+    GatewayProcess gate(Targets{target("a", a)}, s);
     {
         Socket watch = gate.discovery.accept();
         EXPECT_TRUE(has(watch.message(), "GET /api/targets?follow=1&since=41 "));
@@ -328,22 +328,22 @@
 
 // In a fleet that is replaced all day, those that are gone would be kept and walked for ever.
 TEST(NetDiscovery, WorkersThatAreGoneLeaveNothingBehind) {
-    Server worker;
-    Gate gate(Targets{});
+    Server endpoint;
+    GatewayProcess gate(Targets{});
     Socket watch = gate.discovery.accept();
     watch.message();
     watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     int index = 42;
     const auto serve = [&] {
         const std::string name = "last" + std::to_string(index);
-        watch.write(listLine(++index, true, {target(name, worker)}));
+        watch.write(listLine(++index, true, {target(name, endpoint)}));
         for (;;) {  // until the list is in force
             Socket client = gate.client();
             client.write(request("load", name));
-            pollfd either[2] = {{client.fd(), POLLIN, 0}, {worker.fd(), POLLIN, 0}};
-            ASSERT_GT(::poll(either, 2, kPatienceMs), 0);
+            pollfd either[2] = {{client.fd(), POLLIN, 0}, {endpoint.fd(), POLLIN, 0}};
+            ASSERT_GT(::poll(either, 2, kTestTimeoutMs), 0);
             if (either[1].revents == 0) continue;
-            Socket at = worker.accept();
+            Socket at = endpoint.accept();
             at.message();
             at.write("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
             EXPECT_EQ(statusOf(client.message()), 200);
@@ -353,14 +353,14 @@
     serve();
     const long before = gate.residentKb();
     for (int round = 0; round < 200; ++round) {
-        Targets fresh, gone;
+        Targets fresh, onDisconnect;
         for (int i = 0; i < 100; ++i) {
             const std::string name = "s-" + std::to_string(round) + "-" + std::to_string(i);
-            fresh.push_back(target(name, worker));
-            gone.push_back(target(name, worker, "terminated"));
+            fresh.push_back(target(name, endpoint));
+            onDisconnect.push_back(target(name, endpoint, "terminated"));
         }
         watch.write(listLine(++index, false, fresh));
-        watch.write(listLine(++index, false, gone));
+        watch.write(listLine(++index, false, onDisconnect));
     }
     serve();
     EXPECT_LT(gate.residentKb() - before, 6000);
@@ -368,7 +368,7 @@
 
 // A watch that was cut off says nothing and stays open; a live one sends an empty line every 2 s.
 TEST(NetDiscovery, ASilentWatchIsOpenedAnewFromTheVersionItHad) {
-    Gate gate(Targets{});
+    GatewayProcess gate(Targets{});
     Socket silent = gate.discovery.accept();
     silent.message();
     Socket next = gate.discovery.accept();
@@ -382,7 +382,7 @@
     json s = settings();
     s["discovery"] = "ask";
     s["rules"]["mustAskInS"] = 3600;
-    Gate gate(Targets{}, s);
+    GatewayProcess gate(Targets{}, s);
     for (int i = 0; i < 2; ++i) {
         Socket watch = gate.discovery.accept();
         watch.message();
@@ -412,7 +412,7 @@
 TEST(NetDiscovery, AnAttemptThatStillDialsWritesNothingToAWorkerThatLeft) {
     Server full(0);  // its queue takes one connection; the next does not come up until that is accepted
     Socket plug = connectTo(full.port);
-    Gate gate(Targets{target("w", full)});
+    GatewayProcess gate(Targets{target("w", full)});
     Socket watch = gate.discovery.accept();
     watch.message();
     watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -430,17 +430,18 @@
 
 class NetCounter : public testing::Test {
 protected:
-    NetCounter() { customerId = customerOfAYoungSlice(); }
-    ~NetCounter() override { customerId = usual; }
+    NetCounter() { tenantId = customerOfAYoungSlice(); }
+    ~NetCounter() override { tenantId = usual; }
 
-    const std::string usual = customerId;
+    const std::string usual = tenantId;
     static json counted() {
         json s = settings();
         s["domain"] = {{"mayCount", true}, {"counterTimeoutS", 0.2}, {"maxUnits", 4}};
         return s;
     }
-    Server worker, counter;
-    Gate gate{Targets{target("w", worker)}, counted(), [this](json& c) { c["counter"] = counter.address(); }};
+    Server endpoint, counter;
+    GatewayProcess gate{Targets{target("w", endpoint)}, counted(),
+                        [this](json& c) { c["counter"] = counter.address(); }};
     Socket client = gate.client();
 
     void serveAttempt(Socket& at) {
@@ -454,7 +455,7 @@
     client.write(request("load", "r1", 8000, "", "units=2.5,spread=1,first=0"));
     Socket at = counter.accept();
     const std::string call = at.message();
-    EXPECT_TRUE(has(call, "POST /v1/count/q" + std::to_string(std::stoull(customerId, nullptr, 16)) + "."))
+    EXPECT_TRUE(has(call, "POST /v1/count/q" + std::to_string(std::stoull(tenantId, nullptr, 16)) + "."))
         << call;
     EXPECT_TRUE(has(call, "?add=2.5&ttl_ms=60000 HTTP/1.1\r\n")) << call;
     at.write(ok("1000000.5"));
@@ -462,7 +463,7 @@
     EXPECT_EQ(statusOf(answer), 429);
     EXPECT_TRUE(has(answer, "Retry-After: 0.5")) << answer;
     EXPECT_TRUE(has(at.message(), "?add=-2.5&"));  // the charge is taken back
-    EXPECT_FALSE(worker.waitReadable(0));
+    EXPECT_FALSE(endpoint.waitReadable(0));
 }
 
 TEST_F(NetCounter, WhatARequestCostInTheEndIsSettled) {
@@ -472,13 +473,13 @@
     at.write(ok("1"));
     // The closed slice is read too, over the same connection or, by its name, over another one.
     pollfd either[2] = {{at.fd(), POLLIN, 0}, {counter.fd(), POLLIN, 0}};
-    ASSERT_GT(::poll(either, 2, kPatienceMs), 0);
+    ASSERT_GT(::poll(either, 2, kTestTimeoutMs), 0);
     Socket other;
     if (either[0].revents == 0) other = counter.accept();
     Socket& read = either[0].revents == 0 ? other : at;
     EXPECT_TRUE(has(read.message(), "?add=0&"));
     read.write(ok("0"));
-    Socket served = worker.accept();
+    Socket served = endpoint.accept();
     served.message();
     served.write(ok("in", "X-Meter: 86\r\nX-Settled: 3\r\n"));
     EXPECT_EQ(statusOf(client.message()), 200);
@@ -489,7 +490,7 @@
     client.write(request("load", "r1"));
     Socket at = counter.accept();
     at.message();
-    Socket link = worker.accept();  // the module waited no longer than its own time
+    Socket link = endpoint.accept();  // the module waited no longer than its own time
     serveAttempt(link);
     // A request without a quota whose time runs out: the first call's time has run out before that.
     std::string timed = request("load", "between", 100);
@@ -500,10 +501,10 @@
     // After a time-out some requests go unasked, by a draw: those are served until one asks.
     for (int i = 2; i < 30; ++i) {
         client.write(request("load", "r" + std::to_string(i)));
-        pollfd either[2] = {{at.fd(), POLLIN, 0}, {worker.fd(), POLLIN, 0}};
-        ASSERT_GT(::poll(either, 2, kPatienceMs), 0);
+        pollfd either[2] = {{at.fd(), POLLIN, 0}, {endpoint.fd(), POLLIN, 0}};
+        ASSERT_GT(::poll(either, 2, kTestTimeoutMs), 0);
         if (either[0].revents != 0) break;
-        Socket unasked = worker.accept();
+        Socket unasked = endpoint.accept();
         unasked.message();
         unasked.write("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
         EXPECT_EQ(statusOf(client.message()), 200);
@@ -512,7 +513,7 @@
     // The first answer is late; the second says that the window is full. Mixed up, this one would be let in.
     at.write(ok("1") + ok("1000000"));
     EXPECT_EQ(statusOf(client.message()), 429);
-    EXPECT_FALSE(worker.waitReadable(0));
+    EXPECT_FALSE(endpoint.waitReadable(0));
 }
 
 TEST_F(NetCounter, ABrokenConnectionEndsItsCallsAndTheNextCallDialsAnew) {
@@ -522,7 +523,7 @@
         at.message();
         at.reset();
     }
-    Socket link = worker.accept();
+    Socket link = endpoint.accept();
     serveAttempt(link);
     client.write(request("load", "r2"));
     Socket at = counter.accept();
@@ -540,7 +541,7 @@
         at.message();
         at.write(ok(body));
         EXPECT_TRUE(at.atEnd()) << body;
-        Socket link = worker.accept();
+        Socket link = endpoint.accept();
         link.message();
         link.write("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
         EXPECT_EQ(statusOf(client.message()), 200);
@@ -558,9 +559,9 @@
     boost::asio::io_context io;
     TimerQueue timers(io);
     int told = 0;
-    CounterClient client(io, timers, readEndpoint(counter.address(), "counter"),
+    CounterClient client(io, timers, parseAddress(counter.address(), "counter"),
                          {1, std::chrono::milliseconds(5), std::chrono::seconds(5)},
-                         [&](slipshift::CountAnswered&&) { ++told; });
+                         [&](gateway::CounterReplied&&) { ++told; });
     const auto call = [&] {
         client.add({"q1.1", 1, std::chrono::seconds(5)});
         client.flush();
@@ -584,7 +585,7 @@
     EXPECT_TRUE(has(at.message(), "?add=-1&"));  // seen to have left: its charge goes back
     client = gate.client();
     client.write(request("load", "r1"));
-    Socket link = worker.accept();
+    Socket link = endpoint.accept();
     serveAttempt(link);
 }
 
@@ -594,7 +595,7 @@
     Server a, b, next, third;
     json s = settings();
     s["rules"]["drainGraceS"] = 600;  // the list alone keeps attempts away from a
-    Gate gate(Targets{target("a", a)}, s);
+    GatewayProcess gate(Targets{target("a", a)}, s);
     Socket old = gate.discovery.accept();
     old.message();
     gate.reload(R"({"discovery": "127.0.0.1:1", )");  // half written: those in use stay
@@ -622,7 +623,8 @@
 TEST_F(NetCounter, AfterAReloadCallsOutAtTheOldOneEndBeforeTheNewOneHasAny) {
     json s = counted();
     s["domain"]["counterTimeoutS"] = 20;
-    Gate slow{Targets{target("w", worker)}, s, [this](json& c) { c["counter"] = counter.address(); }};
+    GatewayProcess slow{Targets{target("w", endpoint)}, s,
+                        [this](json& c) { c["counter"] = counter.address(); }};
     Socket first = slow.client(), second = slow.client();
     first.write(request("load", "r1"));
     Socket old = counter.accept();
@@ -634,17 +636,17 @@
     std::vector<Socket> lanes;
     for (int i = 0; i < 8; ++i) lanes.push_back(next.accept());
     old.write(ok("5"));
-    Socket one = worker.accept();
+    Socket one = endpoint.accept();
     one.message();
     std::vector<pollfd> polls;
     for (const Socket& lane : lanes) polls.push_back({lane.fd(), POLLIN, 0});
-    ASSERT_EQ(::poll(polls.data(), polls.size(), kPatienceMs), 1);
+    ASSERT_EQ(::poll(polls.data(), polls.size(), kTestTimeoutMs), 1);
     for (std::size_t i = 0; i < lanes.size(); ++i) {
         if (polls[i].revents == 0) continue;
         EXPECT_TRUE(has(lanes[i].message(), "?add=1&"));
         lanes[i].write(ok("6"));
     }
-    Socket two = worker.accept();
+    Socket two = endpoint.accept();
     two.message();
     one.write(ok("one"));
     two.write(ok("two"));
@@ -654,25 +656,25 @@
 }
 
 TEST(NetShutdown, AnswersWhatIsTakenAndEndsWithNought) {
-    Server worker;
-    Gate gate(Targets{target("w", worker)});
+    Server endpoint;
+    GatewayProcess gate(Targets{target("w", endpoint)});
     Socket client = gate.client(), idle = gate.client();
     idle.write("GET /-/ready HTTP/1.1\r\n\r\n");
     EXPECT_EQ(statusOf(idle.message()), 200);
     client.write(request("load", "r1"));
-    Socket at = worker.accept();
+    Socket at = endpoint.accept();
     at.message();
     gate.terminate();
     int status = 200;
     while (status == 200) {  // the signal is seen at some moment; then it tells that it is not ready
-        Socket asks = gate.client();
-        asks.write("GET /-/ready HTTP/1.1\r\n\r\n");
-        status = statusOf(asks.message());
+        Socket polls = gate.client();
+        polls.write("GET /-/ready HTTP/1.1\r\n\r\n");
+        status = statusOf(polls.message());
     }
     EXPECT_EQ(status, 503);
     Socket late = gate.client();  // still listening
     late.write(request("load", "r2"));
-    Socket second = worker.accept();
+    Socket second = endpoint.accept();
     second.message();
     EXPECT_TRUE(idle.atEnd());
     second.write(ok("two"));
@@ -687,8 +689,9 @@
 }
 
 TEST(NetLimits, IdleClientsGiveWayAtTheMostConnections) {
-    Server worker;
-    Gate gate(Targets{target("w", worker)}, settings(), [](json& c) { c["limits"]["sockets"] = 64; });
+    Server endpoint;
+    GatewayProcess gate(Targets{target("w", endpoint)}, settings(),
+                        [](json& c) { c["limits"]["sockets"] = 64; });
     std::list<Socket> clients;
     for (int i = 0; i < 100; ++i) {
         clients.push_back(gate.client());
@@ -699,8 +702,9 @@
 }
 
 TEST(NetLimits, ARequestThatDoesNotComeWholeEndsItsConnection) {
-    Server worker;
-    Gate gate(Targets{target("w", worker)}, settings(), [](json& c) { c["mostPartialMs"] = 100; });
+    Server endpoint;
+    GatewayProcess gate(Targets{target("w", endpoint)}, settings(),
+                        [](json& c) { c["mostPartialMs"] = 100; });
     Socket client = gate.client();
     client.write("GET /load HTTP/1.1\r\nHost:");
     EXPECT_EQ(statusOf(client.message()), 408);
@@ -708,8 +712,9 @@
 }
 
 TEST(NetLimits, AConnectionThatSaysNothingIsEndedAndAUsedOneIsKept) {
-    Server worker;
-    Gate gate(Targets{target("w", worker)}, settings(), [](json& c) { c["mostPartialMs"] = 300; });
+    Server endpoint;
+    GatewayProcess gate(Targets{target("w", endpoint)}, settings(),
+                        [](json& c) { c["mostPartialMs"] = 300; });
     Socket used = gate.client();
     used.write("GET /-/ready HTTP/1.1\r\n\r\n");
     EXPECT_EQ(statusOf(used.message()), 200);
@@ -720,8 +725,8 @@
 }
 
 TEST(NetLimits, ServesOnAfterRunningOutOfDescriptors) {
-    Server worker;
-    Gate gate(Targets{target("w", worker)}, settings(), {}, 40);
+    Server endpoint;
+    GatewayProcess gate(Targets{target("w", endpoint)}, settings(), {}, 40);
     std::list<Socket> clients;
     for (int i = 0; i < 60; ++i) {  // more than the kernel will let it hold; those idle longest give way
         clients.push_back(gate.client());
@@ -755,4 +760,4 @@
 }
 
 }  // namespace
-}  // namespace weldstall::test
+}  // namespace gateway::net::test
--- a/tests/wire_test.cpp
+++ b/tests/simulator_wire_test.cpp
@@ -1,5 +1,5 @@
 // Tests of the adapter: lines in, lines out.
-#include "wire.h"
+#include "simulator/simulator_wire.h"
 
 #include <gtest/gtest.h>
 
@@ -24,14 +24,14 @@
 std::string run(const std::string& input) {
     std::istringstream in(input);
     std::ostringstream out;
-    slipshift::wire::serve(in, out);
+    gateway::simulator::serve(in, out);
     return out.str();
 }
 
 std::string complaint(const std::string& input) {
     try {
         run(input);
-    } catch (const slipshift::wire::WireError& e) {
+    } catch (const gateway::simulator::WireError& e) {
         return e.what();
     }
     return "";
--- a/tests/cold_fleet_test.cpp
+++ b/tests/slow_start_fleet_test.cpp
@@ -1,4 +1,4 @@
-// What all gatekeepers together send to a cold records server, against a stand-in fleet: instances of the
+// What all gateways together send to a cold endpoint, against a stand-in fleet: instances of the
 // decision module, a clock of their own, fixed seeds, no sockets. Only the stand-in knows capacities.
 #include <gtest/gtest.h>
 
@@ -12,9 +12,9 @@
 #include <random>
 #include <unordered_map>
 
-#include "slipshift/gatekeeper.h"
+#include "gateway/decision_engine.h"
 
-namespace slipshift {
+namespace gateway {
 namespace {
 
 using std::chrono::milliseconds;
@@ -28,16 +28,16 @@
 
 struct Scenario {
     const char* name;
-    int gatekeepers;
+    int gatewayCount;
     int servers;
     int cores;               // of each server
     double meanWork;         // s that a request of mean work takes a warm core
     double load;             // asked for, in parts of what the warm fleet can serve
     double replaced = 0.6;   // share of the servers replaced within `kReplaceIn`
     double drained = 0.1;    // share that drains in the same seconds and has no successor
-    double restarted = 0.1;  // share of the gatekeepers that lose their memory in the middle of it
+    double restarted = 0.1;  // share of the gateways that lose their memory in the middle of it
     double sameName = 0.25;  // share of the replaced that come back under their old name
-    double hot = 1;          // share of the gatekeepers that get all requests
+    double hot = 1;          // share of the gateways that get all requests
     double quiet = 1;        // factor on the load until the last of them is replaced
     int seeds = 2;
     bool otherRules = false;
@@ -52,17 +52,17 @@
 Settings settingsOf(const Scenario& sc) {
     Settings s;
     RequestClass light;
-    light.aim = std::max(milliseconds(1000), milliseconds(std::llround(sc.meanWork * 30'000)));
-    light.deadline = light.aim * 2;
+    light.latencyObjective = std::max(milliseconds(1000), milliseconds(std::llround(sc.meanWork * 30'000)));
+    light.deadline = light.latencyObjective * 2;
     RequestClass heavy = light;
     s.classes = {light, heavy};
-    s.gatekeepers = sc.gatekeepers;
-    s.reports = Reports::inAnswers;
+    s.gatewayCount = sc.gatewayCount;
+    s.loadReportSource = LoadReportSource::inResponses;
     s.maxAttempts = 3;
-    s.coldFrom = sc.otherRules ? 0.3 : 0.16;
-    s.warmWithin = std::chrono::seconds(sc.otherRules ? 9 : 16);
-    s.tipMultiple = sc.otherRules ? 1.5 : 2.5;
-    s.tipAfter = std::chrono::seconds(sc.otherRules ? 2 : 3);
+    s.slowStartInitialShare = sc.otherRules ? 0.3 : 0.16;
+    s.slowStartDuration = std::chrono::seconds(sc.otherRules ? 9 : 16);
+    s.overloadMultiple = sc.otherRules ? 1.5 : 2.5;
+    s.overloadWindow = std::chrono::seconds(sc.otherRules ? 2 : 3);
     return s;
 }
 
@@ -70,7 +70,7 @@
     long windows = 0, over = 0, overByBegin = 0;
     double fullest = 0, fullestOfBound = 0, fullestByBegin = 0;  // in N, in the bound, in the bound by begin
     double taken = 0, couldDo = 0;                               // by cold servers while cold, mean requests
-    long asked = 0, served = 0;                                  // from the first replacement on
+    long poll_ = 0, served = 0;                                  // from the first replacement on
     void add(const Tally& t) {
         windows += t.windows;
         over += t.over;
@@ -80,7 +80,7 @@
         fullestByBegin = std::max(fullestByBegin, t.fullestByBegin);
         taken += t.taken;
         couldDo += t.couldDo;
-        asked += t.asked;
+        poll_ += t.poll_;
         served += t.served;
     }
 };
@@ -90,7 +90,7 @@
     StandIn(const Scenario& scenario, std::uint64_t seed)
         : sc_(scenario), settings_(settingsOf(scenario)), random_(seed) {
         for (int i = 0; i < sc_.servers; ++i) start("s" + number(i), Time{}, false);
-        for (int k = 0; k < sc_.gatekeepers; ++k) {
+        for (int k = 0; k < sc_.gatewayCount; ++k) {
             keepers_.emplace_back();
             keepers_.back().known.assign(servers_.size(), {});
             for (std::size_t i = 0; i < servers_.size(); ++i) keepers_.back().known[i] = servers_[i].entry;
@@ -100,7 +100,7 @@
     }
 
     Tally run() {
-        const Time end = kOrigin + kSettled + kReplaceIn + settings_.warmWithin;
+        const Time end = kOrigin + kSettled + kReplaceIn + settings_.slowStartDuration;
         at(kOrigin, [this] { arrive(); });
         while (!events_.empty() && events_.top().when < end) {
             const auto what = std::move(const_cast<Happening&>(events_.top()).what);
@@ -110,7 +110,7 @@
         }
         for (const Server& s : servers_) {
             const double until =
-                seconds(std::min({now_, s.drainsAt, s.entry.startedAt + settings_.warmWithin}));
+                seconds(std::min({now_, s.drainsAt, s.entry.startedAt + settings_.slowStartDuration}));
             const double from = seconds(s.entry.startedAt);
             if (from <= 0 || until <= from) continue;
             const double middle = shareAt(s, fromSeconds((from + until) / 2));
@@ -121,15 +121,15 @@
 
 private:
     struct Job {
-        int keeper = 0, life = 0;
+        int engine = 0, life = 0;
         std::size_t request = 0;
         int attempt = 0;
         std::size_t server = 0;
         Time sentAt{};
-        bool over = false;  // for the gatekeeper
+        bool over = false;  // for the gateway
     };
     struct Server {
-        WorkerEntry entry;
+        EndpointEntry entry;
         Time drainsAt = Time::max();
         int busy = 0;
         std::deque<std::size_t> waiting;
@@ -137,9 +137,9 @@
         double sentWork = 0;
     };
     struct Keeper {
-        std::unique_ptr<Gatekeeper> module;
+        std::unique_ptr<DecisionEngine> module;
         int life = 0;
-        std::vector<WorkerEntry> known;
+        std::vector<EndpointEntry> known;
     };
     struct Asked {
         int requestClass = 0;
@@ -162,33 +162,34 @@
 
     double shareAt(const Server& s, Time when) const {
         if (s.entry.startedAt == Time{}) return 1;
-        const double age = seconds(when - s.entry.startedAt) / seconds(settings_.warmWithin);
-        return settings_.coldFrom + (1 - settings_.coldFrom) * std::clamp(age, 0.0, 1.0);
+        const double age = seconds(when - s.entry.startedAt) / seconds(settings_.slowStartDuration);
+        return settings_.slowStartInitialShare +
+               (1 - settings_.slowStartInitialShare) * std::clamp(age, 0.0, 1.0);
     }
 
     // ---- Servers and news of them ----
 
-    std::size_t start(const std::string& name, Time when, bool tell) {
+    std::size_t start(const std::string& name, Time when, bool dispatch) {
         Server s;
-        s.entry.worker = name;
+        s.entry.endpoint = name;
         s.entry.startedAt = when;
         byName_[name] = servers_.size();
         servers_.push_back(std::move(s));
         for (Keeper& k : keepers_) {
             k.known.emplace_back();
-            k.known.back().availability = Availability::gone;
+            k.known.back().availability = Availability::removed;
         }
-        if (tell) spread(servers_.size() - 1);
+        if (dispatch) spread(servers_.size() - 1);
         return servers_.size() - 1;
     }
 
     void spread(std::size_t server) {
-        for (int k = 0; k < sc_.gatekeepers; ++k)
+        for (int k = 0; k < sc_.gatewayCount; ++k)
             at(now_ + Duration(random_() % static_cast<std::uint64_t>(kNewsWithin.count())),
                [this, k, server, entry = servers_[server].entry] {
-                   Keeper& keeper = keepers_[static_cast<std::size_t>(k)];
-                   keeper.known[server] = entry;
-                   WorkerList list;
+                   Keeper& engine = keepers_[static_cast<std::size_t>(k)];
+                   engine.known[server] = entry;
+                   EndpointUpdate list;
                    list.entries = {entry};
                    feed(k, list);
                });
@@ -199,7 +200,7 @@
         servers_[server].entry.availability = Availability::draining;
         spread(server);
         at(now_ + kGoneAfter, [this, server] {
-            servers_[server].entry.availability = Availability::gone;
+            servers_[server].entry.availability = Availability::removed;
             spread(server);
         });
     }
@@ -221,16 +222,16 @@
             const bool same = static_cast<double>(i) < sc_.sameName * static_cast<double>(replaced);
             at(moment(i, replaced), [this, server] { drain(server); });
             const std::string name =
-                same ? servers_[server].entry.worker : "t" + number(random_() % 100 * 100 + i);
+                same ? servers_[server].entry.endpoint : "t" + number(random_() % 100 * 100 + i);
             // Under the old name after the old process's end, else beside it.
             const Duration after = same ? kGoneAfter + kNewsWithin : milliseconds(200);
             at(moment(i, replaced) + after, [this, name] { start(name, now_, true); });
         }
         for (std::size_t i = 0; i < drained; ++i)
             at(moment(i, drained), [this, server = order[replaced + i]] { drain(server); });
-        const int restarted = static_cast<int>(std::lround(sc_.restarted * sc_.gatekeepers));
+        const int restarted = static_cast<int>(std::lround(sc_.restarted * sc_.gatewayCount));
         for (int i = 0; i < restarted; ++i) {
-            const int k = static_cast<int>(random_() % static_cast<std::uint64_t>(sc_.gatekeepers));
+            const int k = static_cast<int>(random_() % static_cast<std::uint64_t>(sc_.gatewayCount));
             at(kOrigin + kSettled + kReplaceIn * (i + 1) / std::max(1, restarted) + milliseconds(1),
                [this, k] { boot(k); });
         }
@@ -239,15 +240,15 @@
     // ---- Gatekeepers ----
 
     void boot(int k) {
-        Keeper& keeper = keepers_[static_cast<std::size_t>(k)];
+        Keeper& engine = keepers_[static_cast<std::size_t>(k)];
         Settings s = settings_;
-        s.self = k;
-        ++keeper.life;
-        keeper.module = std::make_unique<Gatekeeper>(s, random_());
-        WorkerList list;
-        list.scope = ListScope::saved;
-        for (const WorkerEntry& e : keeper.known)
-            if (e.availability != Availability::gone) list.entries.push_back(e);
+        s.gatewayIndex = k;
+        ++engine.life;
+        engine.module = std::make_unique<DecisionEngine>(s, random_());
+        EndpointUpdate list;
+        list.kind = UpdateKind::cached;
+        for (const EndpointEntry& e : engine.known)
+            if (e.availability != Availability::removed) list.entries.push_back(e);
         feed(k, list);
     }
 
@@ -257,7 +258,7 @@
         for (const Action& action : out) {
             if (const auto* send = std::get_if<SendAttempt>(&action))
                 take(k, *send);
-            else if (const auto* refusal = std::get_if<Refuse>(&action))
+            else if (const auto* refusal = std::get_if<RejectRequest>(&action))
                 again(std::stoul(refusal->request));
         }
     }
@@ -272,12 +273,12 @@
         a.requestClass = chance() < 0.3;
         a.work = (a.requestClass == 1 ? 1.9333 : 0.6) * (0.5 + chance());
         a.measured = now_ >= kOrigin + kSettled;
-        tally_.asked += a.measured;
+        tally_.poll_ += a.measured;
         ask(a);
     }
 
     void ask(Asked a) {
-        const double hot = std::max(1.0, sc_.hot * sc_.gatekeepers);
+        const double hot = std::max(1.0, sc_.hot * sc_.gatewayCount);
         const int k = static_cast<int>(chance() * hot);
         RequestArrived r;
         r.request = std::to_string(asked_.size());
@@ -287,7 +288,7 @@
         feed(k, r);
     }
 
-    // A refused client tries once more, through any gatekeeper.
+    // A refused client tries once more, through any gateway.
     void again(std::size_t request) {
         Asked a = asked_[request];
         if (std::exchange(a.again, true)) return;
@@ -297,14 +298,14 @@
 
     void take(int k, const SendAttempt& send) {
         const std::size_t request = std::stoul(send.request);
-        const std::size_t server = byName_.at(send.worker);
+        const std::size_t server = byName_.at(send.endpoint);
         Server& s = servers_[server];
         count(s, asked_[request].work);
         const std::size_t job = jobs_.size();
         jobs_.push_back({k, keepers_[static_cast<std::size_t>(k)].life, request, asked_[request].attempts++,
                          server, now_, false});
         at(now_ + send.timeout, [this, job] { end(job, Outcome::timedOut); });
-        if (s.entry.availability == Availability::gone) {
+        if (s.entry.availability == Availability::removed) {
             at(now_ + milliseconds(1), [this, job] { end(job, Outcome::connectFailed); });
         } else if (s.busy < sc_.cores) {
             work(job);
@@ -336,11 +337,11 @@
         if (std::exchange(j.over, true)) return;
         const Asked& a = asked_[j.request];
         if (outcome == Outcome::ok) tally_.served += a.measured;
-        if (keepers_[static_cast<std::size_t>(j.keeper)].life != j.life) return;  // it has forgotten it
+        if (keepers_[static_cast<std::size_t>(j.engine)].life != j.life) return;  // it has forgotten it
         AttemptEnded e;
         e.request = std::to_string(j.request);
         e.attempt = j.attempt;
-        e.worker = servers_[j.server].entry.worker;
+        e.endpoint = servers_[j.server].entry.endpoint;
         e.outcome = outcome;
         e.elapsed = now_ - j.sentAt;
         e.closed = outcome == Outcome::ok || now_ >= a.deadline;
@@ -349,7 +350,7 @@
             e.report->inFlight =
                 servers_[j.server].busy + static_cast<double>(servers_[j.server].waiting.size());
         }
-        feed(j.keeper, e);
+        feed(j.engine, e);
     }
 
     // A window ends at each attempt that is sent to a cold server.
@@ -359,15 +360,16 @@
         tally_.taken += now_ < s.drainsAt ? work : 0;
         s.sent.emplace_back(now_, work);
         s.sentWork += work;
-        while (s.sent.front().first <= now_ - settings_.tipAfter) {
+        while (s.sent.front().first <= now_ - settings_.overloadWindow) {
             s.sentWork -= s.sent.front().second;
             s.sent.pop_front();
         }
         const auto allowed = [&](double capacityShare) {
-            return settings_.tipMultiple * capacityShare * capacity() * seconds(settings_.tipAfter);
+            return settings_.overloadMultiple * capacityShare * capacity() *
+                   seconds(settings_.overloadWindow);
         };
         const auto bound = [](double n) { return n + 2 * std::sqrt(n) + 2; };
-        const double n = allowed(share), begin = allowed(shareAt(s, now_ - settings_.tipAfter));
+        const double n = allowed(share), begin = allowed(shareAt(s, now_ - settings_.overloadWindow));
         ++tally_.windows;
         tally_.over += s.sentWork > bound(n);
         tally_.overByBegin += s.sentWork > bound(begin);
@@ -383,7 +385,7 @@
     std::uint64_t order_ = 0;
     std::priority_queue<Happening> events_;
     std::deque<Server> servers_;
-    std::unordered_map<WorkerId, std::size_t> byName_;  // under a name that came back the later one
+    std::unordered_map<EndpointId, std::size_t> byName_;  // under a name that came back the later one
     std::vector<Keeper> keepers_;
     std::deque<Asked> asked_;
     std::deque<Job> jobs_;
@@ -402,7 +404,7 @@
         sc.name, sum.windows, static_cast<double>(sum.over) / static_cast<double>(sum.windows),
         static_cast<double>(sum.overByBegin) / static_cast<double>(sum.windows), sum.fullest,
         sum.fullestOfBound, sum.fullestByBegin, sum.taken / sum.couldDo,
-        static_cast<double>(sum.served) / static_cast<double>(sum.asked));
+        static_cast<double>(sum.served) / static_cast<double>(sum.poll_));
     EXPECT_GT(sum.windows, 0);
     EXPECT_EQ(sum.over, 0);
     EXPECT_GE(sum.taken / sum.couldDo, 0.5 * std::min(sc.load, 1.0));  // nor does one starve
@@ -411,84 +413,84 @@
 // clang-format off
 const Scenario kScenarios[] = {
     // Thick traffic.
-    {.name = "Thick20Half", .gatekeepers = 20, .servers = 12, .cores = 4, .meanWork = 0.05, .load = 0.5},
-    {.name = "Thick20Busy", .gatekeepers = 20, .servers = 12, .cores = 4, .meanWork = 0.05, .load = 0.8},
-    {.name = "Thick20Over", .gatekeepers = 20, .servers = 12, .cores = 4, .meanWork = 0.05, .load = 1.5},
-    {.name = "Thick30Full", .gatekeepers = 30, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 0.95,
+    {.name = "Thick20Half", .gatewayCount = 20, .servers = 12, .cores = 4, .meanWork = 0.05, .load = 0.5},
+    {.name = "Thick20Busy", .gatewayCount = 20, .servers = 12, .cores = 4, .meanWork = 0.05, .load = 0.8},
+    {.name = "Thick20Over", .gatewayCount = 20, .servers = 12, .cores = 4, .meanWork = 0.05, .load = 1.5},
+    {.name = "Thick30Full", .gatewayCount = 30, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 0.95,
      .seeds = 1},
-    {.name = "Thick30Over", .gatekeepers = 30, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 1.5,
+    {.name = "Thick30Over", .gatewayCount = 30, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 1.5,
      .seeds = 1},
-    {.name = "Thick300Half", .gatekeepers = 300, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 0.5,
+    {.name = "Thick300Half", .gatewayCount = 300, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 0.5,
      .seeds = 1},
-    {.name = "Thick300Full", .gatekeepers = 300, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 0.95,
+    {.name = "Thick300Full", .gatewayCount = 300, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 0.95,
      .seeds = 1},
-    {.name = "Thick300Over", .gatekeepers = 300, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 1.5,
+    {.name = "Thick300Over", .gatewayCount = 300, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 1.5,
      .seeds = 1},
-    {.name = "Wide300Busy", .gatekeepers = 300, .servers = 200, .cores = 2, .meanWork = 0.1, .load = 0.8,
+    {.name = "Wide300Busy", .gatewayCount = 300, .servers = 200, .cores = 2, .meanWork = 0.1, .load = 0.8,
      .seeds = 1},
-    // Thin traffic: each gatekeeper gets less than one request a second.
-    {.name = "Thin20", .gatekeepers = 20, .servers = 12, .cores = 1, .meanWork = 0.5, .load = 0.66,
+    // Thin traffic: each gateway gets less than one request a second.
+    {.name = "Thin20", .gatewayCount = 20, .servers = 12, .cores = 1, .meanWork = 0.5, .load = 0.66,
      .seeds = 12},
-    {.name = "Thin30", .gatekeepers = 30, .servers = 12, .cores = 1, .meanWork = 0.4, .load = 0.8,
+    {.name = "Thin30", .gatewayCount = 30, .servers = 12, .cores = 1, .meanWork = 0.4, .load = 0.8,
      .seeds = 12},
-    {.name = "Thin300", .gatekeepers = 300, .servers = 12, .cores = 2, .meanWork = 0.08, .load = 0.8,
+    {.name = "Thin300", .gatewayCount = 300, .servers = 12, .cores = 2, .meanWork = 0.08, .load = 0.8,
      .seeds = 3},
-    {.name = "Thin300Quiet", .gatekeepers = 300, .servers = 12, .cores = 2, .meanWork = 0.08, .load = 0.2,
+    {.name = "Thin300Quiet", .gatewayCount = 300, .servers = 12, .cores = 2, .meanWork = 0.08, .load = 0.2,
      .seeds = 3},
-    {.name = "Thin300Wide", .gatekeepers = 300, .servers = 40, .cores = 1, .meanWork = 0.2, .load = 0.8,
+    {.name = "Thin300Wide", .gatewayCount = 300, .servers = 40, .cores = 1, .meanWork = 0.2, .load = 0.8,
      .seeds = 3},
-    {.name = "Thin300Over", .gatekeepers = 300, .servers = 12, .cores = 2, .meanWork = 0.08, .load = 1.5,
+    {.name = "Thin300Over", .gatewayCount = 300, .servers = 12, .cores = 2, .meanWork = 0.08, .load = 1.5,
      .seeds = 3},
     // Few are cold.
-    {.name = "Few30Thin", .gatekeepers = 30, .servers = 12, .cores = 1, .meanWork = 0.4, .load = 0.9,
+    {.name = "Few30Thin", .gatewayCount = 30, .servers = 12, .cores = 1, .meanWork = 0.4, .load = 0.9,
      .replaced = 0.1, .drained = 0.17, .seeds = 16},
-    {.name = "Few300Thin", .gatekeepers = 300, .servers = 12, .cores = 2, .meanWork = 0.08, .load = 0.8,
+    {.name = "Few300Thin", .gatewayCount = 300, .servers = 12, .cores = 2, .meanWork = 0.08, .load = 0.8,
      .replaced = 0.1, .drained = 0.17, .seeds = 4},
-    {.name = "Few300ThinOver", .gatekeepers = 300, .servers = 12, .cores = 2, .meanWork = 0.08, .load = 1.2,
+    {.name = "Few300ThinOver", .gatewayCount = 300, .servers = 12, .cores = 2, .meanWork = 0.08, .load = 1.2,
      .replaced = 0.1, .drained = 0.17, .seeds = 4},
-    {.name = "Few300Full", .gatekeepers = 300, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 0.9,
+    {.name = "Few300Full", .gatewayCount = 300, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 0.9,
      .replaced = 0.1, .seeds = 1},
-    {.name = "Large300Thin", .gatekeepers = 300, .servers = 6, .cores = 4, .meanWork = 0.08, .load = 0.8,
+    {.name = "Large300Thin", .gatewayCount = 300, .servers = 6, .cores = 4, .meanWork = 0.08, .load = 0.8,
      .replaced = 0.34, .drained = 0.17, .seeds = 3},
     // All but a few are cold, or all.
-    {.name = "Most20Thin", .gatekeepers = 20, .servers = 12, .cores = 1, .meanWork = 0.5, .load = 0.66,
+    {.name = "Most20Thin", .gatewayCount = 20, .servers = 12, .cores = 1, .meanWork = 0.5, .load = 0.66,
      .replaced = 0.84, .drained = 0.08, .restarted = 0.25, .seeds = 12},
-    {.name = "Most30", .gatekeepers = 30, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 0.8,
+    {.name = "Most30", .gatewayCount = 30, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 0.8,
      .replaced = 0.9, .restarted = 0.25, .seeds = 1},
-    {.name = "Most300", .gatekeepers = 300, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 0.8,
+    {.name = "Most300", .gatewayCount = 300, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 0.8,
      .replaced = 0.9, .restarted = 0.25, .seeds = 1},
-    {.name = "Most300Thin", .gatekeepers = 300, .servers = 12, .cores = 2, .meanWork = 0.08, .load = 0.8,
+    {.name = "Most300Thin", .gatewayCount = 300, .servers = 12, .cores = 2, .meanWork = 0.08, .load = 0.8,
      .replaced = 0.84, .drained = 0.08, .restarted = 0.25, .seeds = 3},
-    {.name = "All20Thin", .gatekeepers = 20, .servers = 12, .cores = 1, .meanWork = 0.5, .load = 0.66,
+    {.name = "All20Thin", .gatewayCount = 20, .servers = 12, .cores = 1, .meanWork = 0.5, .load = 0.66,
      .replaced = 1, .restarted = 0.25, .seeds = 12},
-    {.name = "All30", .gatekeepers = 30, .servers = 12, .cores = 4, .meanWork = 0.05, .load = 0.8,
+    {.name = "All30", .gatewayCount = 30, .servers = 12, .cores = 4, .meanWork = 0.05, .load = 0.8,
      .replaced = 1, .restarted = 0.25},
-    {.name = "All300", .gatekeepers = 300, .servers = 12, .cores = 4, .meanWork = 0.05, .load = 0.8,
+    {.name = "All300", .gatewayCount = 300, .servers = 12, .cores = 4, .meanWork = 0.05, .load = 0.8,
      .replaced = 1, .restarted = 0.25},
-    {.name = "All300Thin", .gatekeepers = 300, .servers = 12, .cores = 2, .meanWork = 0.08, .load = 0.8,
+    {.name = "All300Thin", .gatewayCount = 300, .servers = 12, .cores = 2, .meanWork = 0.08, .load = 0.8,
      .replaced = 1, .restarted = 0.25, .seeds = 3},
-    {.name = "All300ThinOver", .gatekeepers = 300, .servers = 12, .cores = 2, .meanWork = 0.08, .load = 1.5,
+    {.name = "All300ThinOver", .gatewayCount = 300, .servers = 12, .cores = 2, .meanWork = 0.08, .load = 1.5,
      .replaced = 1, .restarted = 0.25, .seeds = 3},
     // Traffic rises from little to too much when the last one was replaced.
-    {.name = "Surge30", .gatekeepers = 30, .servers = 12, .cores = 4, .meanWork = 0.05, .load = 1.2,
+    {.name = "Surge30", .gatewayCount = 30, .servers = 12, .cores = 4, .meanWork = 0.05, .load = 1.2,
      .quiet = 0.2},
-    {.name = "Surge300", .gatekeepers = 300, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 1.2,
+    {.name = "Surge300", .gatewayCount = 300, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 1.2,
      .quiet = 0.2, .seeds = 1},
-    {.name = "Surge300Thin", .gatekeepers = 300, .servers = 12, .cores = 2, .meanWork = 0.08, .load = 1.2,
+    {.name = "Surge300Thin", .gatewayCount = 300, .servers = 12, .cores = 2, .meanWork = 0.08, .load = 1.2,
      .quiet = 0.1, .seeds = 3},
-    // All requests come through some of the gatekeepers.
-    {.name = "Hot30", .gatekeepers = 30, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 0.8,
+    // All requests come through some of the gateways.
+    {.name = "Hot30", .gatewayCount = 30, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 0.8,
      .hot = 0.34, .seeds = 1},
-    {.name = "Hot300", .gatekeepers = 300, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 0.8,
+    {.name = "Hot300", .gatewayCount = 300, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 0.8,
      .hot = 0.1, .seeds = 1},
     // Other settings.
-    {.name = "Other20Busy", .gatekeepers = 20, .servers = 12, .cores = 4, .meanWork = 0.05, .load = 0.8,
+    {.name = "Other20Busy", .gatewayCount = 20, .servers = 12, .cores = 4, .meanWork = 0.05, .load = 0.8,
      .otherRules = true},
-    {.name = "Other30Over", .gatekeepers = 30, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 1.5,
+    {.name = "Other30Over", .gatewayCount = 30, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 1.5,
      .seeds = 1, .otherRules = true},
-    {.name = "Other300Busy", .gatekeepers = 300, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 0.8,
+    {.name = "Other300Busy", .gatewayCount = 300, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 0.8,
      .seeds = 1, .otherRules = true},
-    {.name = "Other300Thin", .gatekeepers = 300, .servers = 12, .cores = 2, .meanWork = 0.08, .load = 0.8,
+    {.name = "Other300Thin", .gatewayCount = 300, .servers = 12, .cores = 2, .meanWork = 0.08, .load = 0.8,
      .seeds = 4, .otherRules = true},
 };
 // clang-format on
@@ -497,4 +499,4 @@
                          [](const auto& each) { return std::string(each.param.name); });
 
 }  // namespace
-}  // namespace slipshift
+}  // namespace gateway
--- a/tests/gate.h
+++ b/tests/support/gateway_process.h
@@ -1,4 +1,4 @@
-// The real gatekeeper in a process of its own, and what its peers say: for tests over loopback sockets.
+// The real gateway in a process of its own, and what its peers say: for tests over loopback sockets.
 #pragma once
 
 #include <sys/resource.h>
@@ -11,12 +11,12 @@
 #include <functional>
 #include <vector>
 
-#include "net/service.h"
-#include "sockets.h"
+#include "net/server/service.h"
+#include "support/loopback_peers.h"
 
-namespace weldstall::test {
+namespace gateway::net::test {
 
-using slipshift::json;
+using gateway::json;
 
 inline json settings() {
     return json::parse(R"({
@@ -34,8 +34,9 @@
       "weights": "off", "zones": ["a", "b"], "kinds": ["m"]})");
 }
 
-inline json target(const std::string& name, const Server& worker, const std::string& status = "in_service") {
-    return {{"name", name}, {"address", worker.address()},
+inline json target(const std::string& name, const Server& endpoint,
+                   const std::string& status = "in_service") {
+    return {{"name", name}, {"address", endpoint.address()},
             {"zone", "a"},  {"type", "m"},
             {"group", 0},   {"status", status},
             {"weight", 1},  {"since_ms", 0}};
@@ -47,17 +48,17 @@
     return size + std::string("\r\n") + text + "\r\n";
 }
 
-inline std::string listLine(int index, bool full, const std::vector<json>& targets) {
-    return chunk(json{{"index", index}, {"snapshot", full}, {"endpoints", json(targets)}}.dump() + "\n");
+inline std::string listLine(int index, bool full, const std::vector<json>& endpoints) {
+    return chunk(json{{"index", index}, {"snapshot", full}, {"endpoints", json(endpoints)}}.dump() + "\n");
 }
 
-// A gatekeeper in a process of its own. Ends with the test.
+// A gateway in a process of its own. Ends with the test.
 using Targets = std::vector<json>;
 
-class Gate {
+class GatewayProcess {
 public:
-    explicit Gate(Targets known, json settingsOfDay = settings(),
-                  const std::function<void(json&)>& change = {}, rlim_t descriptors = 0) {
+    explicit GatewayProcess(Targets known, json settingsOfDay = settings(),
+                            const std::function<void(json&)>& change = {}, rlim_t descriptors = 0) {
         json config{{"name", "n0"},
                     {"listen", "127.0.0.1:0"},
                     {"discovery", discovery.address()},
@@ -66,8 +67,7 @@
                     {"settings", std::move(settingsOfDay)},
                     {"known", {{"index", 41}, {"snapshot", true}, {"endpoints", json(std::move(known))}}}};
         if (change) change(config);
-        file_ =
-            testing::TempDir() + "weldstall-" + std::to_string(::getpid()) + "-" + std::to_string(made_++);
+        file_ = testing::TempDir() + "gateway-" + std::to_string(::getpid()) + "-" + std::to_string(made_++);
         config_ = config;
         int ends[2];
         if (::pipe(ends) != 0) throw std::runtime_error("pipe");
@@ -83,15 +83,15 @@
                 }
                 Config read = readConfig(config.dump());
                 // So that a slow machine sees it listen.
-                read.stillListen = std::chrono::milliseconds(config.value("stillListenMs", 3000));
-                read.idleStays = std::chrono::milliseconds(config.value("idleStaysMs", 3000));
-                read.listWait = std::chrono::milliseconds(config.value("listWaitMs", 0));
+                read.listenAfterShutdown = std::chrono::milliseconds(config.value("stillListenMs", 3000));
+                read.idleGracePeriod = std::chrono::milliseconds(config.value("idleStaysMs", 3000));
+                read.initialUpdateWait = std::chrono::milliseconds(config.value("listWaitMs", 0));
                 if (config.contains("emptyWaitMs"))
-                    read.emptyWait = std::chrono::milliseconds(config["emptyWaitMs"].get<int>());
-                read.rest = std::chrono::milliseconds(config.value("restMs", 0));
+                    read.emptyListWait = std::chrono::milliseconds(config["emptyWaitMs"].get<int>());
+                read.reuseDelay = std::chrono::milliseconds(config.value("restMs", 0));
                 if (config.contains("mostPartialMs"))
-                    read.mostPartial = std::chrono::milliseconds(config["mostPartialMs"].get<int>());
-                serve(read, [&](const Config::Endpoint& at) {
+                    read.maxPartialTime = std::chrono::milliseconds(config["mostPartialMs"].get<int>());
+                serve(read, [&](const Config::Address& at) {
                     const unsigned short told = at.port();
                     if (::write(ends[1], &told, sizeof told) != sizeof told) std::abort();
                 });
@@ -105,9 +105,9 @@
         if (::read(ends[0], &port, sizeof port) != sizeof port) port = 0;
         ::close(ends[0]);
     }
-    Gate(const Gate&) = delete;
-    Gate& operator=(const Gate&) = delete;
-    ~Gate() {
+    GatewayProcess(const GatewayProcess&) = delete;
+    GatewayProcess& operator=(const GatewayProcess&) = delete;
+    ~GatewayProcess() {
         if (pid_ > 0) {
             ::kill(pid_, SIGKILL);
             ::waitpid(pid_, nullptr, 0);
@@ -159,10 +159,10 @@
 };
 
 // A client's request as PROTOCOL has it; a later header of the same name replaces the one here.
-inline std::string customerId = "00000000b4d65521";
+inline std::string tenantId = "00000000b4d65521";
 
-// A customer whose slice on the counter began within the last second. Team's slices are 20 s long, shifted by
-// the customer's number; a test in which the slice changes sees names and connections that it does not
+// A tenant whose slice on the counter began within the last second. Team's slices are 20 s long, shifted by
+// the tenant's number; a test in which the slice changes sees names and connections that it does not
 // expect.
 inline std::string customerOfAYoungSlice() {
     constexpr std::uint64_t kSliceUs = 20'000'000, kShifts = 1024;
@@ -184,11 +184,11 @@
     const bool get = cls == "load";
     std::string text =
         (get ? "GET /" : "POST /") + cls + "?slot=7 HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: " + id +
-        "\r\nRequest-Class: " + cls + "\r\nX-Contract: team\r\nX-Client-Id: " + customerId +
+        "\r\nRequest-Class: " + cls + "\r\nX-Contract: team\r\nX-Client-Id: " + tenantId +
         "\r\nRequest-Timeout-Ms: " + std::to_string(timeoutMs) + "\r\nX-Metering: " + metering + "\r\n";
     if (!get)
         text += "Idempotency-Key: k-" + id + "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n";
     return text + "\r\n" + body;
 }
 
-}  // namespace weldstall::test
+}  // namespace gateway::net::test
--- a/tests/sockets.h
+++ b/tests/support/loopback_peers.h
@@ -14,9 +14,9 @@
 #include <string>
 #include <utility>
 
-namespace weldstall::test {
+namespace gateway::net::test {
 
-constexpr int kPatienceMs = 20000;  // only a hanging test comes near this
+constexpr int kTestTimeoutMs = 20000;  // only a hanging test comes near this
 
 class Socket {
 public:
@@ -48,11 +48,11 @@
                 continue;
             }
             pollfd p{fd_, POLLOUT, 0};
-            if (errno != EAGAIN || ::poll(&p, 1, kPatienceMs) <= 0)
+            if (errno != EAGAIN || ::poll(&p, 1, kTestTimeoutMs) <= 0)
                 throw std::runtime_error("send: " + std::string(std::strerror(errno)));
         }
     }
-    bool waitReadable(int ms = kPatienceMs) const {
+    bool waitReadable(int ms = kTestTimeoutMs) const {
         pollfd p{fd_, POLLIN, 0};
         return ::poll(&p, 1, ms) > 0;
     }
@@ -151,4 +151,4 @@
            body;
 }
 
-}  // namespace weldstall::test
+}  // namespace gateway::net::test
