--- a/include/gateway/decision_engine.h
+++ b/include/gateway/decision_engine.h
@@ -26,8 +26,8 @@
     void handle(Time now, const Event& event, Actions& actions);
 
 private:
-    class Decisions;
-    std::unique_ptr<Decisions> decisions_;
+    class Impl;
+    std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace gateway
--- a/include/gateway/settings.h
+++ b/include/gateway/settings.h
@@ -23,8 +23,8 @@
 struct RequestClass {
     Idempotency idempotency = Idempotency::safe;
     DeduplicationScope deduplicationScope = DeduplicationScope::all;  // for Idempotency::withKey
-    Duration idempotencyWindow{};        // withKey: from the sending of the earliest attempt that may have run
-    Duration latencyObjective{};         // a response by then earns its full weight; above 0
+    Duration idempotencyWindow{};  // withKey: from the sending of the earliest attempt that may have run
+    Duration latencyObjective{};   // a response by then earns its full weight; above 0
     double latencyObjectiveStretch = 0;  // the objective grows by this multiple of the request's own work
     Duration deadline{};                 // what a client waits at most, over all its tries; above 0
     double lateWeight = 0;               // share of the weight left between the objective and the deadline
@@ -78,9 +78,9 @@
     bool reconciliationEnabled = false;  // a request's cost is an estimate; its response tells the true one
     Duration usageMeterPeriod{};         // of the meter that responses carry; 0: there is no meter
 
-    Duration responseSlack{};     // for a final answer, past the client's deadline
-    Duration drainGracePeriod{};  // during which a draining endpoint may still be sent attempts
-    Duration maxPollInterval{};   // DiscoveryMode::poll: changes count as told after this long
+    Duration responseSlack{};          // for a final answer, past the client's deadline
+    Duration drainGracePeriod{};       // during which a draining endpoint may still be sent attempts
+    Duration maxPollInterval{};        // DiscoveryMode::poll: changes count as told after this long
     double slowStartInitialShare = 1;  // share of its capacity that an endpoint starts with, from 0 to 1
     Duration slowStartDuration{};      // until it has its full capacity; 0: from the start
     double overloadMultiple = 1;       // an endpoint that is warming up fails when it is sent more than this
--- /dev/null
+++ b/src/decision/counter_ledger.h
@@ -0,0 +1,85 @@
+// What this gateway posts to the counter: charges, refunds and reconciliations of tenants' window slices.
+//
+// Refunds and reconciliations ride on the next add to their slice, or go out by themselves soon after.
+// Reconciliation is the post-request weight correction of the thesis: the true cost less the charge.
+#pragma once
+
+#include <vector>
+
+#include "decision/ceiling_bucket.h"
+#include "decision/counter_sampler.h"
+#include "decision/event_context.h"
+#include "decision/quota_window.h"
+#include "decision/request_table.h"
+#include "decision/tenant_table.h"
+
+namespace gateway {
+
+class CounterLedger {
+public:
+    // What a reply of the counter brought.
+    struct ReplyResult {
+        std::vector<RequestKey> requests;  // that waited for it
+        bool ok = false;                   // it told a sum
+        TenantId tenant = 0;
+        std::int64_t sliceIndex = 0;
+    };
+
+    struct Parts {
+        const Settings& settings;
+        const UsageEstimator& usage;
+        const QuotaWindow& window;
+        const CeilingBucket& ceiling;
+        CounterSampler& sampler;
+        TenantTable& tenants;
+        RequestTable& requests;
+    };
+
+    // All parts must outlive the ledger.
+    explicit CounterLedger(const Parts& parts) : parts_(parts) {}
+
+    // Adds the request's charge to the slice, with what is pending there.
+    void postCharge(EventContext& context, Tenant& tenant, WindowSlice& slice, Request& request) const;
+
+    // Takes in a reply. Where it came for requests, each has one reply less to wait for.
+    ReplyResult onReply(EventContext& context, const CounterReplied& reply) const;
+
+    // To be called when the requests of the result were dealt with.
+    void afterReply(EventContext& context, const ReplyResult& result) const;
+
+    // An admitted request's charge is booked. `unconfirmed`: without a reply that covers it.
+    void bookAdmitted(const Tenant& tenant, WindowSlice& slice, const Request& request,
+                      bool unconfirmed) const;
+
+    // A rejected request's charge must not fill the window: it goes back at once, as others read the slice
+    // soon. `slice` may be null.
+    void refundRejected(EventContext& context, const Request& request, WindowSlice* slice) const;
+
+    // A request that was charged but reached no endpoint draws nothing from the quota.
+    void refundUnsent(EventContext& context, const Request& request) const;
+
+    // The request's true cost is `difference` more than its charge: carried as debt, or as refund if
+    // negative.
+    void reconcile(EventContext& context, Tenant& tenant, const Request& request, double difference) const;
+
+    // Posts what is pending on the slice, unless the counter can't take it now.
+    void flush(EventContext& context, TenantId tenantId, std::int64_t sliceIndex) const;
+
+private:
+    CounterCall& post(EventContext& context, const Tenant& tenant, WindowSlice& slice,
+                      CounterCall call) const;
+    void withdraw(WindowSlice& slice, const CounterCall& call) const;
+    void applyTotal(EventContext& context, Tenant& tenant, WindowSlice& slice, const CounterCall& call,
+                    double total) const;
+    double lostCost(const QuotaPlan& plan, const CounterCall& call, double total) const;
+    void confirmCharge(EventContext& context, Tenant& tenant, const CounterCall& call, Request& request,
+                       const CounterReplied& reply, std::int64_t sliceIndex) const;
+    bool mayCarryDebt(const Tenant& tenant, const WindowSlice& closed, Time now) const;
+    void carryDebt(EventContext& context, Tenant& tenant, const WindowSlice& closed) const;
+    void scheduleFlush(EventContext& context, const Tenant& tenant, WindowSlice& slice) const;
+    bool isDroppedBySampling(EventContext& context, const Tenant& tenant, WindowSlice& slice) const;
+
+    Parts parts_;
+};
+
+}  // namespace gateway
--- /dev/null
+++ b/src/decision/decision_engine_impl.cpp
@@ -0,0 +1,275 @@
+#include "decision/decision_engine_impl.h"
+
+#include <algorithm>
+#include <stdexcept>
+#include <utility>
+#include <variant>
+
+#include "decision/arithmetic.h"
+#include "decision/outlier_detector.h"
+
+namespace gateway {
+namespace {
+
+constexpr double kCounterWait = 0.1;    // share of the latency objective that a request waits for the counter
+constexpr double kMinTimeShare = 0.3;   // share of a class's usual time without which a try is hopeless
+constexpr int kDiscoveryRetryPart = 8;  // of the longest poll interval
+constexpr Duration kMinDiscoveryRetry = std::chrono::milliseconds(200);
+
+Settings validated(Settings settings) {
+    if (const auto problem = findSettingsProblem(settings)) throw std::invalid_argument(*problem);
+    return settings;
+}
+
+}  // namespace
+
+DecisionEngine::Impl::Impl(Settings settings, std::uint64_t seed)
+    : settings_(validated(std::move(settings))),
+      random_(seed),
+      usage_(settings_),
+      window_(settings_, usage_),
+      ceiling_(settings_),
+      sampler_(settings_.counterTimeout),
+      ledger_({settings_, usage_, window_, ceiling_, sampler_, tenants_, requests_}),
+      admission_({settings_, usage_, window_, ceiling_, sampler_, tenants_, requests_}, ledger_),
+      latency_(settings_),
+      slowStart_(settings_, endpointStats_),
+      limiter_(settings_),
+      endpoints_(settings_, slowStart_, limiter_),
+      picker_(settings_, endpoints_, endpointStats_, slowStart_) {}
+
+void DecisionEngine::Impl::handle(Time now, const Event& event, Actions& actions) {
+    if (!startedAt_) {
+        startedAt_ = now;
+        endpointStats_.start(now);
+    }
+    EventContext context{now, actions, random_, timers_};
+    std::visit([&](const auto& typed) { on(context, typed); }, event);
+}
+
+// ---- The endpoint set -----------------------------------------------------------------------------
+
+void DecisionEngine::Impl::on(EventContext& context, const EndpointUpdate& update) {
+    if (update.kind == UpdateKind::failed) {
+        const Duration retryIn = settings_.maxPollInterval / kDiscoveryRetryPart;
+        return context.setTimer(DiscoveryRetryDue{}, std::max(retryIn, kMinDiscoveryRetry));
+    }
+    if (settings_.discovery == DiscoveryMode::poll && !std::exchange(watchesEndpoints_, true))
+        context.act(WatchEndpoints{});
+    endpoints_.apply(update, context.now);
+    limiter_.onEndpointSet(endpoints_.listed());
+}
+
+// ---- The way of a request -------------------------------------------------------------------------
+
+void DecisionEngine::Impl::on(EventContext& context, const RequestArrived& arrival) {
+    Request& request = requests_.add(arrival, context.now);
+    // A client about to leave can't be served; asking the counter for it would only outlast it.
+    const double expected = latency_.expectedSeconds(arrival.requestClass);
+    if (toSeconds(arrival.deadline - context.now) < kMinTimeShare * expected)
+        return answerUnserved(context, request, Duration{});
+    if (planOf(request) == nullptr) return sendAttempt(context, request);
+    switch (admission_.start(context, request)) {
+        case QuotaAdmission::Start::rejected:
+            return answerUnserved(context, request, admission_.retryAfter(context, request));
+        case QuotaAdmission::Start::decideNow:
+            return decide(context, request);
+        case QuotaAdmission::Start::waiting:
+            return waitForCounter(context, request);
+    }
+}
+
+void DecisionEngine::Impl::waitForCounter(EventContext& context, const Request& request) {
+    const Duration untilDeadline = request.arrival.deadline - context.now;
+    const Duration most = std::min(settings_.counterTimeout, untilDeadline / 2);
+    const Duration objective = latency_.latencyObjective(request.arrival.requestClass);
+    const Duration wait = fromSeconds(toSeconds(objective) * kCounterWait);
+    context.setTimer(CounterWaitOver{request.key}, std::min(most, wait));
+}
+
+void DecisionEngine::Impl::on(EventContext& context, const CounterReplied& reply) {
+    const CounterLedger::ReplyResult result = ledger_.onReply(context, reply);
+    for (const RequestKey key : result.requests) {
+        Request* request = requests_.find(key);
+        if (request == nullptr || request->decided) continue;
+        --request->charge.pendingReplies;
+        if (request->charge.pendingReplies <= 0 || !result.ok) decide(context, *request);
+    }
+    ledger_.afterReply(context, result);
+}
+
+void DecisionEngine::Impl::decide(EventContext& context, Request& request) {
+    request.decided = true;
+    const QuotaAdmission::Decision decision = admission_.decide(context, request, *startedAt_);
+    if (!decision.admitted) return answerUnserved(context, request, decision.retryAfter);
+    sendAttempt(context, request);
+}
+
+void DecisionEngine::Impl::sendAttempt(EventContext& context, Request& request) {
+    const Duration left = latency_.timeLeft(request, context.now);
+    const double work = latency_.relativeWork(request.arrival.requestClass);
+    std::optional<std::size_t> slot;
+    if (left > Duration{} && limiter_.hasCapacity(random_))
+        slot = picker_.pick(request, work, context.now, random_);
+    if (!slot) {
+        if (!request.reachedEndpoint) ledger_.refundUnsent(context, request);
+        return answerUnserved(context, request, expectedTime(request));
+    }
+    Endpoint& endpoint = endpoints_.at(*slot);
+    if (request.attempts.empty()) retryBudget_.onFirstAttempt();
+    request.attempts.push_back({*slot, context.now, false});
+    limiter_.begin(endpoint);
+    if (Tenant* tenant = tenants_.find(request.arrival.tenant)) ++tenant->inFlight;
+    SlowStart::spend(endpoint, work);
+    Duration beginWithin{};
+    if (request.possibleRun && classOf(request).idempotency == Idempotency::withKey)
+        beginWithin = request.possibleRun->since + classOf(request).idempotencyWindow - context.now;
+    context.act(SendAttempt{request.arrival.request, endpoint.entry.endpoint, left, beginWithin});
+}
+
+void DecisionEngine::Impl::on(EventContext&, const StreamStarted& started) {
+    if (Request* request = requests_.find(started.request)) request->streaming = true;
+}
+
+void DecisionEngine::Impl::on(EventContext& context, const AttemptEnded& ended) {
+    Request* request = requests_.find(ended.request);
+    const auto index = static_cast<std::size_t>(ended.attempt);
+    if (request == nullptr || ended.attempt < 0 || index >= request->attempts.size()) return;
+    Attempt& attempt = request->attempts[index];
+    if (std::exchange(attempt.ended, true)) return;
+    Endpoint& endpoint = endpoints_.at(attempt.endpointSlot);
+    limiter_.end(endpoint);
+    Tenant* tenant = tenants_.find(request->arrival.tenant);
+    if (tenant != nullptr) --tenant->inFlight;
+    observeAttempt(*request, ended, endpoint, context.now);
+    noteRun(*request, ended, attempt, endpoint);
+    settleCost(context, *request, ended, tenant);
+    if (ended.closed) request->closed = true;
+    if (!request->closed && mayRetry(*request, context.now)) {
+        retryBudget_.spend();
+        return sendAttempt(context, *request);
+    }
+    if (!request->reachedEndpoint && !request->hasAttemptInFlight()) ledger_.refundUnsent(context, *request);
+    if (request->closed) return requests_.eraseIfDone(*request);
+    answerUnserved(context, *request, expectedTime(*request));
+}
+
+void DecisionEngine::Impl::observeAttempt(const Request& request, const AttemptEnded& ended,
+                                          Endpoint& endpoint, Time now) {
+    endpointStats_.observe(endpoint, ended, endpoints_.listed(), now);
+    const AttemptSample sample = latency_.observe(request, ended);
+    EndpointStats::observeLatency(endpoint, sample);
+    limiter_.observe(sample, ended.outcome);
+    slowStart_.observe(endpoint, sample, now);
+    ConcurrencyLimiter::observe(endpoint, sample, now);
+    endpoint.load.observedAt = now;
+    if (ended.outcome == Outcome::ok)
+        slowStart_.noteServed(endpoint, latency_.relativeWork(request.arrival.requestClass), now);
+    OutlierDetector::observe(endpoint.health, ended.outcome, now);
+}
+
+void DecisionEngine::Impl::noteRun(Request& request, const AttemptEnded& ended, const Attempt& attempt,
+                                   const Endpoint& endpoint) {
+    if (!provesNeverRan(ended.outcome) && !request.possibleRun)
+        request.possibleRun = PossibleRun{endpoint.entry.zone, endpoint.entry.cell, attempt.sentAt};
+    // A ceiling takes cost at the first attempt, a quota where it reaches an endpoint.
+    const QuotaPlan* plan = planOf(request);
+    const bool hasCeiling = plan != nullptr && plan->ceilingRate > 0;
+    const bool neverConnected = ended.outcome == Outcome::connectFailed && !hasCeiling;
+    if (ended.outcome != Outcome::notSent && !neverConnected) request.reachedEndpoint = true;
+}
+
+void DecisionEngine::Impl::settleCost(EventContext& context, Request& request, const AttemptEnded& ended,
+                                      Tenant* tenant) {
+    if (tenant == nullptr) return;
+    if (ended.meteredPercent) usage_.noteMeter(*tenant, *ended.meteredPercent);
+    if (ended.trueCost) ledger_.reconcile(context, *tenant, request, *ended.trueCost - request.arrival.cost);
+}
+
+bool DecisionEngine::Impl::mayRetry(const Request& request, Time now) const {
+    const int attempts = static_cast<int>(request.attempts.size());
+    if (attempts >= settings_.maxAttempts || !retryBudget_.allowsRetry()) return false;
+    if (request.hasAttemptInFlight()) return false;
+    const double expected = latency_.expectedSeconds(request.arrival.requestClass);
+    if (toSeconds(latency_.timeLeft(request, now)) < expected) return false;
+    const RequestClass& terms = classOf(request);
+    if (!request.possibleRun || terms.idempotency == Idempotency::safe) return true;
+    return terms.idempotency == Idempotency::withKey &&
+           now < request.possibleRun->since + terms.idempotencyWindow;
+}
+
+// ---- Final answers --------------------------------------------------------------------------------
+
+void DecisionEngine::Impl::answerUnserved(EventContext& context, Request& request, Duration retryAfter) {
+    if (isRetryHarmless(request, context.now)) {
+        const Duration advice =
+            settings_.retryAfterAllowed ? std::min(retryAfter, settings_.maxRetryAfter) : Duration{};
+        context.act(RejectRequest{request.arrival.request, advice});
+    } else {
+        context.act(FailRequest{request.arrival.request});
+    }
+    request.closed = true;
+    request.decided = true;
+    requests_.eraseIfDone(request);
+}
+
+bool DecisionEngine::Impl::isRetryHarmless(const Request& request, Time now) const {
+    const RequestClass& terms = classOf(request);
+    if (terms.idempotency == Idempotency::safe) return true;
+    if (!request.possibleRun) return !request.hasAttemptInFlight();
+    return terms.idempotency == Idempotency::withKey && terms.deduplicationScope == DeduplicationScope::all &&
+           now < request.possibleRun->since + terms.idempotencyWindow;
+}
+
+void DecisionEngine::Impl::on(EventContext& context, const ClientDisconnected& disconnected) {
+    Request* request = requests_.find(disconnected.request);
+    if (request == nullptr) return;
+    const bool cancels = settings_.cancellationAllowed && !request->streaming;
+    for (std::size_t i = 0; i < request->attempts.size(); ++i)
+        if (cancels && !request->attempts[i].ended)
+            context.act(CancelAttempt{disconnected.request, static_cast<int>(i)});
+    if (!std::exchange(request->decided, true)) {
+        Tenant* tenant = tenants_.find(request->arrival.tenant);
+        if (tenant != nullptr)
+            ledger_.refundRejected(context, *request, findSlice(*tenant, request->charge.sliceIndex));
+    }
+    request->closed = true;
+    requests_.eraseIfDone(*request);
+}
+
+// ---- Timers ---------------------------------------------------------------------------------------
+
+void DecisionEngine::Impl::on(EventContext& context, const TimerFired& fired) {
+    const std::optional<Timer> timer = timers_.take(fired.timer);
+    if (timer) std::visit([&](const auto& typed) { onTimer(context, typed); }, *timer);
+}
+
+void DecisionEngine::Impl::onTimer(EventContext& context, const CounterWaitOver& timer) {
+    Request* request = requests_.find(timer.request);
+    if (request != nullptr && !request->decided) decide(context, *request);
+}
+
+void DecisionEngine::Impl::onTimer(EventContext& context, const FlushDue& timer) {
+    ledger_.flush(context, timer.tenant, timer.sliceIndex);
+}
+
+void DecisionEngine::Impl::onTimer(EventContext& context, const DiscoveryRetryDue&) {
+    context.act(WatchEndpoints{});
+}
+
+// ---- Lookups --------------------------------------------------------------------------------------
+
+Duration DecisionEngine::Impl::expectedTime(const Request& request) const {
+    return fromSeconds(latency_.expectedSeconds(request.arrival.requestClass));
+}
+
+const RequestClass& DecisionEngine::Impl::classOf(const Request& request) const {
+    return settings_.classes[static_cast<std::size_t>(request.arrival.requestClass)];
+}
+
+const QuotaPlan* DecisionEngine::Impl::planOf(const Request& request) const {
+    if (settings_.plans.empty()) return nullptr;
+    return &settings_.plans[static_cast<std::size_t>(request.arrival.plan)];
+}
+
+}  // namespace gateway
--- /dev/null
+++ b/src/decision/endpoint.h
@@ -0,0 +1,47 @@
+// What a gateway keeps of one endpoint. State alone; nothing is decided here.
+#pragma once
+
+#include "gateway/events.h"
+
+namespace gateway {
+
+// Its load and speed, as reports and responses tell.
+struct EndpointLoad {
+    double othersInFlight = 0;  // attempts of the other gateways, by its reports
+    double slowness = 1;        // its latency in means of the requests' classes
+    Time observedAt{};          // its latest outcome
+};
+
+// Whether it is left out for its failures (outlier ejection).
+struct EndpointHealth {
+    double errorShare = 0;  // moving share of attempts that failed fast
+    Time ejectedUntil{};
+    bool onProbation = false;  // back from ejection, one attempt at a time until it serves one
+    int consecutiveEjections = 0;
+};
+
+// How many own attempts may be in flight there.
+struct EndpointLimit {
+    double maxInFlight = 0;
+    Time cutAt{};
+};
+
+// What it may be sent while it is warming up.
+struct SlowStartTokens {
+    double tokens = 0;     // attempts of mean work
+    double accruedAt = 0;  // the fleet's served work, when tokens last accrued
+};
+
+struct Endpoint {
+    EndpointEntry entry;
+    bool usable = false;  // listed and not draining
+    int inFlight = 0;     // own attempts
+    double subsetShare =
+        1;  // of the warm or warming endpoints that this gateway's subset holds; 0: not this one
+    EndpointLoad load;
+    EndpointHealth health;
+    EndpointLimit limit;
+    SlowStartTokens slowStart;
+};
+
+}  // namespace gateway
--- /dev/null
+++ b/src/decision/endpoint_picker.h
@@ -0,0 +1,44 @@
+// Chooses the endpoint of an attempt.
+#pragma once
+
+#include <cstddef>
+#include <optional>
+
+#include "decision/endpoint_set.h"
+#include "decision/endpoint_stats.h"
+#include "decision/random_source.h"
+#include "decision/request_table.h"
+#include "decision/slow_start.h"
+#include "gateway/settings.h"
+
+namespace gateway {
+
+class EndpointPicker {
+public:
+    // All arguments must outlive the picker.
+    EndpointPicker(const Settings& settings, EndpointSet& endpoints, const EndpointStats& stats,
+                   SlowStart& slowStart)
+        : settings_(settings), endpoints_(endpoints), stats_(stats), slowStart_(slowStart) {}
+
+    // The slot of the best endpoint for the next attempt of `request`, whose work is `relativeWork`; nothing
+    // where none may take it.
+    std::optional<std::size_t> pick(const Request& request, double relativeWork, Time now,
+                                    RandomSource& random);
+
+private:
+    std::optional<std::size_t> pickFrom(bool subset, const Request& request, Time now, RandomSource& random);
+    bool isEligible(Endpoint& endpoint, bool subset, bool heedEjections, const Request& request, Time now);
+    bool areEjectionsHeeded(Time now) const;
+    bool dropsRepeatOf(const Endpoint& endpoint, const Request& request) const;
+    double cost(const Endpoint& endpoint, Time now, RandomSource& random) const;
+    const RequestClass& classOf(const Request& request) const {
+        return settings_.classes[static_cast<std::size_t>(request.arrival.requestClass)];
+    }
+
+    const Settings& settings_;
+    EndpointSet& endpoints_;
+    const EndpointStats& stats_;
+    SlowStart& slowStart_;
+};
+
+}  // namespace gateway
--- /dev/null
+++ b/src/decision/endpoint_set.h
@@ -0,0 +1,56 @@
+// The endpoints that discovery lists, and the subset of them that this gateway uses.
+#pragma once
+
+#include <cstddef>
+#include <unordered_map>
+#include <vector>
+
+#include "decision/concurrency_limiter.h"
+#include "decision/endpoint.h"
+#include "decision/slow_start.h"
+#include "gateway/settings.h"
+
+namespace gateway {
+
+class EndpointSet {
+public:
+    // All arguments must outlive the set.
+    EndpointSet(const Settings& settings, const SlowStart& slowStart, const ConcurrencyLimiter& limiter)
+        : settings_(settings), slowStart_(slowStart), limiter_(limiter) {}
+
+    // Takes in what discovery told.
+    void apply(const EndpointUpdate& update, Time now);
+
+    // Draws the subset anew if it is old: some endpoints have warmed up meanwhile.
+    void refreshSubset(Time now);
+
+    // An endpoint keeps its slot while it is listed or has an attempt in flight.
+    Endpoint& at(std::size_t slot) { return endpoints_[slot]; }
+    std::size_t slots() const { return endpoints_.size(); }
+
+    // Endpoints that are listed, draining ones too, or have an attempt in flight.
+    std::size_t listed() const { return slotByName_.size(); }
+
+    const FleetCapacity& capacity() const { return capacity_; }
+
+    // Some usable endpoint is neither warming up nor ejected.
+    bool hasServingWarmEndpoint(Time now) const;
+
+private:
+    std::size_t slotOf(const EndpointId& name);
+    void applyEntry(const EndpointEntry& entry);
+    void releaseSlots();
+    void rebuildSubset(Time now);
+    void assignArc(std::vector<Endpoint*>& ring, double share) const;
+
+    const Settings& settings_;
+    const SlowStart& slowStart_;
+    const ConcurrencyLimiter& limiter_;
+    std::vector<Endpoint> endpoints_;
+    std::unordered_map<EndpointId, std::size_t> slotByName_;
+    std::vector<std::size_t> freeSlots_;
+    FleetCapacity capacity_;
+    Time subsetDrawnAt_{};
+};
+
+}  // namespace gateway
--- /dev/null
+++ b/src/decision/quota_window.cpp
@@ -0,0 +1,127 @@
+#include "decision/quota_window.h"
+
+#include <algorithm>
+#include <cmath>
+#include <utility>
+
+#include "decision/arithmetic.h"
+
+namespace gateway {
+namespace {
+
+constexpr double kMinSliceSeconds = 0.1;
+constexpr double kMinRate = 1e-9;  // against division by zero
+constexpr std::uint64_t kPhaseSteps = 1024;
+constexpr std::uint64_t kPhaseFactor = 2654435761;  // spreads neighbouring tenant ids
+
+// Slices are aligned on the shared clock, each tenant's shifted by its id so that not all of a plan's windows
+// open at the same moment.
+double slicePhase(TenantId tenant) {
+    return static_cast<double>(tenant * kPhaseFactor % kPhaseSteps) / static_cast<double>(kPhaseSteps);
+}
+
+std::int64_t sliceIndexAt(TenantId tenant, const QuotaPlan& plan, Time now) {
+    return static_cast<std::int64_t>(std::floor(toSeconds(now) / sliceSeconds(plan) + slicePhase(tenant)));
+}
+
+}  // namespace
+
+double sliceSeconds(const QuotaPlan& plan) {
+    return std::clamp(plan.burst / std::max(plan.rate, kMinRate), kMinSliceSeconds,
+                      toSeconds(kMaxCounterNameLife) / 3);
+}
+
+double sliceStart(TenantId tenant, const QuotaPlan& plan, std::int64_t index) {
+    return (static_cast<double>(index) - slicePhase(tenant)) * sliceSeconds(plan);
+}
+
+WindowSlice* findSlice(Tenant& tenant, std::int64_t index) {
+    for (WindowSlice& slice : tenant.slices)
+        if (slice.index == index) return &slice;
+    return nullptr;
+}
+
+double debtOf(const QuotaPlan& plan, double sum) {
+    return std::max(0.0, sum - plan.rate * sliceSeconds(plan));
+}
+
+WindowSlice& QuotaWindow::advance(Tenant& tenant, Time now) const {
+    const std::int64_t current = sliceIndexAt(tenant.id, usage_.planOf(tenant), now);
+    auto& slices = tenant.slices;
+    while (!slices.empty() && slices.front().index < current - 1) {
+        usage_.noteClosedSlice(tenant, slices.front());
+        slices.erase(slices.begin());
+    }
+    while (slices.empty() || slices.back().index < current) slices.push_back(nextSlice(tenant, current));
+    return slices.back();
+}
+
+// Until the counter replies for it, the new slice has the debt that is known of the one before.
+WindowSlice QuotaWindow::nextSlice(const Tenant& tenant, std::int64_t currentIndex) const {
+    WindowSlice next;
+    if (tenant.slices.empty()) {
+        next.index = currentIndex - 1;
+        return next;
+    }
+    const QuotaPlan& plan = usage_.planOf(tenant);
+    const WindowSlice& previous = tenant.slices.back();
+    const double known = previous.total + previous.forfeited;
+    next.index = previous.index + 1;
+    next.total = debtOf(plan, known);
+    next.admittedSince = debtOf(plan, known + unsummedCost(tenant, previous)) - next.total;
+    return next;
+}
+
+// Many others are not taken to admit more than the plan's rate.
+double QuotaWindow::estimatedSum(const Tenant& tenant, const WindowSlice& slice, Time now) const {
+    if (!usage_.reliesOnMeter(tenant)) return slice.total + slice.admittedSince + slice.othersSince;
+    const QuotaPlan& plan = usage_.planOf(tenant);
+    const double from = std::max(toSeconds(slice.repliedAt), sliceStart(tenant.id, plan, slice.index));
+    const double most = plan.rate * std::max(0.0, toSeconds(now) - from);
+    return slice.total + slice.admittedSince + std::min(slice.othersSince, most);
+}
+
+// Room seen past the burst is taken as lost, so an idle slice saves up no more; where few sums are seen a
+// little more is admitted.
+double QuotaWindow::roomFor(const Tenant& tenant, WindowSlice& slice, double sum, Time now) const {
+    const QuotaPlan& plan = usage_.planOf(tenant);
+    const double burst = std::max(plan.burst, settings_.maxRequestCost);
+    const double age = toSeconds(now) - sliceStart(tenant.id, plan, slice.index);
+    const double room = burst + plan.rate * age - sum;
+    if (slice.hasTotal) slice.forfeited = std::max(slice.forfeited, room - burst);
+    return room - slice.forfeited;
+}
+
+// Keeps the charge, soon to be refunded, out of the sums that others see; room just refunded is seen late.
+bool QuotaWindow::isKnownFull(Tenant& tenant, double cost, Time now) const {
+    WindowSlice& current = tenant.slices.back();
+    return current.total > 0 && !hasRoomFor(tenant, current, current.total, cost, now);
+}
+
+Duration QuotaWindow::timeUntilRoom(Tenant& tenant, double cost, Time now) const {
+    const QuotaPlan& plan = usage_.planOf(tenant);
+    if (plan.rate <= 0 || tenant.slices.empty()) return Duration{};
+    WindowSlice& current = tenant.slices.back();
+    const double missing = cost - roomFor(tenant, current, current.total, now);
+    return fromSeconds(std::max(0.0, missing) / plan.rate);
+}
+
+double QuotaWindow::quotaUse(const Tenant& tenant, const WindowSlice& slice, Time now) const {
+    if (usage_.reliesOnMeter(tenant)) return tenant.usage.meteredUse;
+    const QuotaPlan& plan = usage_.planOf(tenant);
+    const double byDemand = tenant.usage.demand / (usage_.trafficShare(tenant) * plan.rate);
+    const double bySum = estimatedSum(tenant, slice, now) / (plan.rate * sliceSeconds(plan));
+    return std::max(byDemand, bySum);
+}
+
+// Among many gateways only own cost counts: each would post its guess of the others.
+double QuotaWindow::unsummedCost(const Tenant& tenant, const WindowSlice& slice) const {
+    return slice.admittedSince + (usage_.reliesOnMeter(tenant) ? 0 : slice.othersSince);
+}
+
+void QuotaWindow::noteUnconfirmed(const Tenant& tenant, WindowSlice& slice, double cost) const {
+    slice.admittedSince += cost;
+    slice.othersSince += usage_.othersWhile(tenant, cost);
+}
+
+}  // namespace gateway
--- /dev/null
+++ b/src/decision/tenant_table.cpp
@@ -0,0 +1,41 @@
+#include "decision/tenant_table.h"
+
+#include <algorithm>
+
+#include "decision/quota_window.h"
+
+namespace gateway {
+namespace {
+
+constexpr int kTouchesPerSweep = 5000;
+constexpr Duration kForgetAfter = 2 * kMaxCounterNameLife;  // without a request
+constexpr double kInitialMeteredUse = 0.9;                  // before the meter told
+
+}  // namespace
+
+Tenant& TenantTable::touch(const RequestArrived& arrival, Time now) {
+    const auto [found, added] = tenants_.try_emplace(arrival.tenant);
+    Tenant& tenant = found->second;
+    if (!added && tenant.plan != arrival.plan) {  // another plan's slices have another length and numbers
+        const int inFlight = tenant.inFlight;
+        tenant = Tenant{};
+        tenant.inFlight = inFlight;
+    }
+    if (tenant.usedAt == Time{}) tenant.usage.meteredUse = kInitialMeteredUse;
+    tenant.id = arrival.tenant;
+    tenant.plan = arrival.plan;
+    tenant.entryPoints = std::max(1, arrival.entryPoints);
+    tenant.usedAt = now;
+    if (++touchesSinceSweep_ > kTouchesPerSweep) forgetIdle(now);
+    return tenant;
+}
+
+void TenantTable::forgetIdle(Time now) {
+    touchesSinceSweep_ = 0;
+    std::erase_if(tenants_, [&](const auto& entry) {
+        const Tenant& tenant = entry.second;
+        return tenant.inFlight == 0 && now - tenant.usedAt > kForgetAfter;
+    });
+}
+
+}  // namespace gateway
