--- a/src/decision/counter_ledger.cpp
+++ b/src/decision/counter_ledger.cpp
@@ -24,22 +24,6 @@
     return outcome == Outcome::ok || outcome == Outcome::timedOut || outcome == Outcome::reset;
 }
 
-// Notes what was decided on a request whose add is in flight; null if it is not.
-CounterCall* resolveCall(WindowSlice& slice, RequestKey request, Admission admission) {
-    for (CounterCall& call : slice.calls) {
-        if (call.request != request) continue;
-        call.admission = admission;
-        return &call;
-    }
-    return nullptr;
-}
-
-void addRefund(const Request& request, WindowSlice& slice) {
-    slice.pendingRefund += request.charge.amount;
-    slice.rejected += request.charge.amount;
-    slice.total -= request.charge.confirmed ? request.charge.amount : 0;
-}
-
 }  // namespace
 
 void CounterLedger::postCharge(EventContext& context, Tenant& tenant, WindowSlice& slice,
@@ -54,30 +38,26 @@
 
 CounterCall& CounterLedger::post(EventContext& context, const Tenant& tenant, WindowSlice& slice,
                                  CounterCall call) const {
-    call.carriedCharge = std::exchange(slice.pendingCharge, 0);
-    call.carriedRefund = std::exchange(slice.pendingRefund, 0);
-    call.unverified = call.carriedUnverified = std::exchange(slice.pendingUnverified, 0);
-    call.amount = call.charge + call.carriedCharge - call.carriedRefund;
-    slice.refunded += call.carriedRefund;
-    slice.posted += call.amount;
-    call.refundedSoFar = slice.refunded;
-    call.postedSoFar = slice.posted;
+    CounterCall& begun = slice.beginCall(std::move(call));
     const double life = kNameLifeSlices * sliceSeconds(parts_.usage.planOf(tenant));
-    context.act(AddToCounter{sliceName(tenant.id, slice.index), call.amount,
+    context.act(AddToCounter{sliceName(tenant.id, slice.index), begun.amount,
                              std::min(kMaxCounterNameLife, fromSeconds(life))});
-    return slice.calls.emplace_back(std::move(call));
+    return begun;
 }
 
 CounterLedger::ReplyResult CounterLedger::onReply(EventContext& context, const CounterReplied& reply) const {
     const auto [tenantId, sliceIndex] = parseSliceName(reply.name);
-    ReplyResult result{{}, reply.outcome == Outcome::ok, tenantId, sliceIndex};
+    ReplyResult result;
+    result.ok = reply.outcome == Outcome::ok;
+    result.tenant = tenantId;
     parts_.sampler.observe(reply, context.now);
     Tenant* tenant = parts_.tenants.find(tenantId);
     WindowSlice* slice = tenant == nullptr ? nullptr : findSlice(*tenant, sliceIndex);
     if (slice == nullptr || slice->calls.empty()) return result;
+    result.slicePosition = static_cast<std::size_t>(slice - tenant->slices.data());
     const CounterCall call = std::move(slice->calls.front());
     slice->calls.pop_front();
-    if (!wasCounted(reply.outcome)) withdraw(*slice, call);
+    if (!wasCounted(reply.outcome)) slice->withdraw(call);
     if (result.ok) applyTotal(context, *tenant, *slice, call, reply.total);
     if (result.ok && !call.readers.empty()) carryDebt(context, *tenant, *slice);
     Request* request = parts_.requests.find(call.request);
@@ -91,47 +71,21 @@
 
 void CounterLedger::afterReply(EventContext& context, const ReplyResult& result) const {
     Tenant* tenant = parts_.tenants.find(result.tenant);
-    WindowSlice* slice = tenant == nullptr ? nullptr : findSlice(*tenant, result.sliceIndex);
-    if (slice == nullptr || !result.ok) return;
-    if (slice->pendingCharge != 0 || slice->pendingRefund != 0) scheduleFlush(context, *tenant, *slice);
-}
-
-// The call was not counted: all that it carried is pending again. What was decided before the reply was
-// booked as charged.
-void CounterLedger::withdraw(WindowSlice& slice, const CounterCall& call) const {
-    slice.posted -= call.amount;
-    slice.pendingCharge += call.carriedCharge;
-    slice.pendingRefund += call.carriedRefund;
-    slice.refunded -= call.carriedRefund;
-    for (CounterCall& later : slice.calls) {
-        later.postedSoFar -= call.amount;
-        later.refundedSoFar -= call.carriedRefund;
-    }
-    if (call.admission == Admission::admitted) slice.pendingCharge += call.charge;
-    if (call.admission == Admission::rejected) {
-        slice.pendingRefund -= call.charge;
-        slice.rejected -= call.charge;
-    }
+    if (tenant == nullptr || !result.slicePosition || !result.ok) return;
+    if (*result.slicePosition >= tenant->slices.size()) return;
+    WindowSlice& slice = tenant->slices[*result.slicePosition];
+    if (slice.hasPending()) scheduleFlush(context, *tenant, slice);
 }
 
 void CounterLedger::applyTotal(EventContext& context, Tenant& tenant, WindowSlice& slice,
                                const CounterCall& call, double total) const {
     const QuotaPlan& plan = parts_.usage.planOf(tenant);
     const double lost = lostCost(plan, call, total);
-    slice.admittedSince = slice.pendingCharge;
-    for (const CounterCall& later : slice.calls) {  // admitted, and in no sum yet
-        slice.admittedSince +=
-            later.carriedCharge + (later.admission == Admission::admitted ? later.charge : 0);
-    }
-    slice.pendingCharge += lost;
-    slice.posted -= lost;
-    for (CounterCall& later : slice.calls) later.postedSoFar -= lost;
-    slice.total = total + lost - (slice.rejected - call.refundedSoFar);
-    slice.hasTotal = true;
+    slice.applyTotal(call, total + lost, context.now);
+    slice.repost(lost);
     tenant.usage.totalAt = context.now;
     // The others have admitted meanwhile what they did not post yet, as this gateway had.
     slice.othersSince = parts_.usage.othersWhile(tenant, call.carriedUnverified);
-    slice.repliedAt = context.now;
     const double burst = std::max(plan.burst, parts_.settings.maxRequestCost);
     const double most = burst + plan.rate * sliceSeconds(plan);
     const double age = toSeconds(context.now) - sliceStart(tenant.id, plan, slice.index);
@@ -188,7 +142,7 @@
                                  bool unconfirmed) const {
     const double cost = request.arrival.cost;
     slice.ownAdmitted += cost;
-    CounterCall* call = resolveCall(slice, request.key, Admission::admitted);
+    CounterCall* call = slice.resolveCall(request.key, Admission::admitted);
     if (call != nullptr) {
         if (unconfirmed) call->unverified += cost;
     } else if (!request.charge.posted && !request.charge.coveredBySamples) {
@@ -200,9 +154,9 @@
 
 void CounterLedger::refundRejected(EventContext& context, const Request& request, WindowSlice* slice) const {
     if (slice == nullptr) return;
-    const bool inFlight = resolveCall(*slice, request.key, Admission::rejected) != nullptr;
+    const bool inFlight = slice->resolveCall(request.key, Admission::rejected) != nullptr;
     if (!inFlight && !request.charge.posted) return;
-    addRefund(request, *slice);
+    slice->addRefund(request.charge.amount, request.charge.confirmed);
     flush(context, request.arrival.tenant, slice->index);
 }
 
@@ -214,7 +168,7 @@
     WindowSlice* slice = findSlice(*tenant, charge.sliceIndex);
     if (slice != nullptr && !charge.coveredBySamples) {
         slice->ownAdmitted -= cost;
-        addRefund(request, *slice);
+        slice->addRefund(request.charge.amount, request.charge.confirmed);
         if (!charge.confirmed && !charge.posted)
             slice->pendingUnverified = std::max(0.0, slice->pendingUnverified - cost);
         if (!charge.confirmed) parts_.window.noteUnconfirmed(*tenant, *slice, -cost);
@@ -247,8 +201,7 @@
     if (slice == nullptr) return;
     slice->flushScheduled = false;
     // While the counter is silent the next add carries it.
-    const bool nothingPending = slice->pendingCharge == 0 && slice->pendingRefund == 0;
-    if (nothingPending || parts_.sampler.isSilent()) return;
+    if (!slice->hasPending() || parts_.sampler.isSilent()) return;
     if (isDroppedBySampling(context, *tenant, *slice)) return;
     if (parts_.sampler.drawCall(context.random)) {
         post(context, *tenant, *slice, {});
--- a/src/decision/counter_ledger.h
+++ b/src/decision/counter_ledger.h
@@ -4,6 +4,8 @@
 // Reconciliation is the post-request weight correction of the thesis: the true cost less the charge.
 #pragma once
 
+#include <cstddef>
+#include <optional>
 #include <vector>
 
 #include "decision/ceiling_bucket.h"
@@ -22,7 +24,10 @@
         std::vector<RequestKey> requests;  // that waited for it
         bool ok = false;                   // it told a sum
         TenantId tenant = 0;
-        std::int64_t sliceIndex = 0;
+        // Where the slice stood in Tenant::slices when the reply came; nothing where it is not known. If
+        // dealing with the requests opens a new slice, another one stands there in afterReply(): see "Known
+        // faults" in docs/design.md.
+        std::optional<std::size_t> slicePosition;
     };
 
     struct Parts {
@@ -44,7 +49,7 @@
     // Takes in a reply. Where it came for requests, each has one reply less to wait for.
     ReplyResult onReply(EventContext& context, const CounterReplied& reply) const;
 
-    // To be called when the requests of the result were dealt with.
+    // To be called when the requests of the result were dealt with: what is pending goes out soon.
     void afterReply(EventContext& context, const ReplyResult& result) const;
 
     // An admitted request's charge is booked. `unconfirmed`: without a reply that covers it.
@@ -68,7 +73,6 @@
 private:
     CounterCall& post(EventContext& context, const Tenant& tenant, WindowSlice& slice,
                       CounterCall call) const;
-    void withdraw(WindowSlice& slice, const CounterCall& call) const;
     void applyTotal(EventContext& context, Tenant& tenant, WindowSlice& slice, const CounterCall& call,
                     double total) const;
     double lostCost(const QuotaPlan& plan, const CounterCall& call, double total) const;
