--- a/src/decision/counter_ledger.cpp
+++ b/src/decision/counter_ledger.cpp
@@ -55,7 +55,7 @@
     WindowSlice* slice = tenant == nullptr ? nullptr : findSlice(*tenant, sliceIndex);
     if (slice == nullptr || slice->calls.empty()) return result;
     result.slicePosition = static_cast<std::size_t>(slice - tenant->slices.data());
-    const CounterCall call = std::move(slice->calls.front());
+    CounterCall call = std::move(slice->calls.front());
     slice->calls.pop_front();
     if (!wasCounted(reply.outcome)) slice->withdraw(call);
     if (result.ok) applyTotal(context, *tenant, *slice, call, reply.total);
@@ -63,9 +63,9 @@
     Request* request = parts_.requests.find(call.request);
     if (call.admission == Admission::pending && request != nullptr) {
         confirmCharge(context, *tenant, call, *request, reply, sliceIndex);
-        result.requests.push_back(call.request);
+        result.charged = call.request;
     }
-    for (const RequestKey reader : call.readers) result.requests.push_back(reader);
+    result.readers = std::move(call.readers);
     return result;
 }
 
--- a/src/decision/counter_ledger.h
+++ b/src/decision/counter_ledger.h
@@ -21,8 +21,9 @@
 public:
     // What a reply of the counter brought.
     struct ReplyResult {
-        std::vector<RequestKey> requests;  // that waited for it
-        bool ok = false;                   // it told a sum
+        RequestKey charged = 0;           // the request whose charge it answers; 0: none that still waits
+        std::vector<RequestKey> readers;  // requests that waited for the slice's sum only
+        bool ok = false;                  // it told a sum
         TenantId tenant = 0;
         // Where the slice stood in Tenant::slices when the reply came; nothing where it is not known. If
         // dealing with the requests opens a new slice, another one stands there in afterReply(): see "Known
--- a/src/decision/decision_engine_impl.cpp
+++ b/src/decision/decision_engine_impl.cpp
@@ -89,15 +89,18 @@
 
 void DecisionEngine::Impl::on(EventContext& context, const CounterReplied& reply) {
     const CounterLedger::ReplyResult result = ledger_.onReply(context, reply);
-    for (const RequestKey key : result.requests) {
-        Request* request = requests_.find(key);
-        if (request == nullptr || request->decided) continue;
-        --request->charge.pendingReplies;
-        if (request->charge.pendingReplies <= 0 || !result.ok) decide(context, *request);
-    }
+    onAwaitedReply(context, result.charged, result.ok);
+    for (const RequestKey reader : result.readers) onAwaitedReply(context, reader, result.ok);
     ledger_.afterReply(context, result);
 }
 
+void DecisionEngine::Impl::onAwaitedReply(EventContext& context, RequestKey key, bool ok) {
+    Request* request = requests_.find(key);
+    if (request == nullptr || request->decided) return;
+    --request->charge.pendingReplies;
+    if (request->charge.pendingReplies <= 0 || !ok) decide(context, *request);
+}
+
 void DecisionEngine::Impl::decide(EventContext& context, Request& request) {
     request.decided = true;
     const QuotaAdmission::Decision decision = admission_.decide(context, request, *startedAt_);
--- a/src/decision/decision_engine_impl.h
+++ b/src/decision/decision_engine_impl.h
@@ -51,6 +51,7 @@
 
     // The way of a request, in this order.
     void waitForCounter(EventContext& context, const Request& request);
+    void onAwaitedReply(EventContext& context, RequestKey key, bool ok);
     void decide(EventContext& context, Request& request);
     void sendAttempt(EventContext& context, Request& request);
     void observeAttempt(const Request& request, const AttemptEnded& ended, Endpoint& endpoint, Time now);
--- a/src/decision/endpoint_picker.cpp
+++ b/src/decision/endpoint_picker.cpp
@@ -1,6 +1,8 @@
 #include "decision/endpoint_picker.h"
 
 #include <algorithm>
+#include <limits>
+#include <span>
 
 #include "decision/fleet_size.h"
 #include "decision/outlier_detector.h"
@@ -30,37 +32,37 @@
 std::optional<std::size_t> EndpointPicker::pickFrom(bool subset, const Request& request, Time now,
                                                     RandomSource& random) {
     const bool heedEjections = areEjectionsHeeded(now);
+    const bool isSafe = classOf(request).idempotency == Idempotency::safe;
+    const std::span<Endpoint> slots = endpoints_.slots();
     std::optional<std::size_t> best;
-    double lowestCost = 0;
-    for (std::size_t slot = 0; slot < endpoints_.slots(); ++slot) {
-        Endpoint& endpoint = endpoints_.at(slot);
-        if (!isEligible(endpoint, subset, heedEjections, request, now)) continue;
-        double slotCost = cost(endpoint, now, random);
-        if (endpoint.health.onProbation && classOf(request).idempotency != Idempotency::safe)
-            slotCost *= kProbationFactor;
+    double lowestCost = std::numeric_limits<double>::infinity();
+    for (std::size_t slot = 0; slot < slots.size(); ++slot) {
+        Endpoint& endpoint = slots[slot];
+        if (!isCandidate(endpoint, subset, heedEjections, now)) continue;
+        const double capacityShare = slowStart_.capacityShare(endpoint.entry, now);
+        if (!slowStart_.mayReceive(endpoint, capacityShare, endpoints_.capacity())) continue;
+        if (!dropsRepeatOf(endpoint, request)) continue;
+        double slotCost = cost(endpoint, capacityShare, now, random);
+        if (endpoint.health.onProbation && !isSafe) slotCost *= kProbationFactor;
         for (const Attempt& attempt : request.attempts)
             if (attempt.endpointSlot == slot) slotCost *= kTriedBeforeFactor;
-        if (best && slotCost >= lowestCost) continue;
+        if (slotCost >= lowestCost) continue;
         best = slot;
         lowestCost = slotCost;
     }
     return best;
 }
 
-bool EndpointPicker::isEligible(Endpoint& endpoint, bool subset, bool heedEjections, const Request& request,
-                                Time now) {
+bool EndpointPicker::isCandidate(const Endpoint& endpoint, bool subset, bool heedEjections, Time now) {
     if (!endpoint.usable || !ConcurrencyLimiter::hasCapacity(endpoint)) return false;
     if (heedEjections && OutlierDetector::isEjected(endpoint, now)) return false;
-    if (subset != (endpoint.subsetShare > 0)) return false;
-    if (!slowStart_.mayReceive(endpoint, endpoints_.capacity(), now)) return false;
-    return dropsRepeatOf(endpoint, request);
+    return subset == (endpoint.subsetShare > 0);
 }
 
-bool EndpointPicker::areEjectionsHeeded(Time now) const {
+bool EndpointPicker::areEjectionsHeeded(Time now) {
     int usable = 0;
     int ejected = 0;
-    for (std::size_t slot = 0; slot < endpoints_.slots(); ++slot) {
-        const Endpoint& endpoint = endpoints_.at(slot);
+    for (const Endpoint& endpoint : endpoints_.slots()) {
         if (!endpoint.usable) continue;
         ++usable;
         if (OutlierDetector::isEjected(endpoint, now)) ++ejected;
@@ -85,8 +87,8 @@
 }
 
 // The lower the better: the load for its capacity, its slowness and its errors.
-double EndpointPicker::cost(const Endpoint& endpoint, Time now, RandomSource& random) const {
-    const double capacityShare = slowStart_.capacityShare(endpoint.entry, now);
+double EndpointPicker::cost(const Endpoint& endpoint, double capacityShare, Time now,
+                            RandomSource& random) const {
     // With sparse traffic the attempts of one that is warming up were drawn by its budget: those go there.
     if (stats_.isTrafficSparse() && capacityShare < 1) return 0;
     const double freshness = stats_.freshness(endpoint, now);
--- a/src/decision/endpoint_picker.h
+++ b/src/decision/endpoint_picker.h
@@ -27,10 +27,10 @@
 
 private:
     std::optional<std::size_t> pickFrom(bool subset, const Request& request, Time now, RandomSource& random);
-    bool isEligible(Endpoint& endpoint, bool subset, bool heedEjections, const Request& request, Time now);
-    bool areEjectionsHeeded(Time now) const;
+    static bool isCandidate(const Endpoint& endpoint, bool subset, bool heedEjections, Time now);
+    bool areEjectionsHeeded(Time now);
     bool dropsRepeatOf(const Endpoint& endpoint, const Request& request) const;
-    double cost(const Endpoint& endpoint, Time now, RandomSource& random) const;
+    double cost(const Endpoint& endpoint, double capacityShare, Time now, RandomSource& random) const;
     const RequestClass& classOf(const Request& request) const {
         return settings_.classes[static_cast<std::size_t>(request.arrival.requestClass)];
     }
--- a/src/decision/endpoint_set.cpp
+++ b/src/decision/endpoint_set.cpp
@@ -75,20 +75,18 @@
 // are warming up and warm ones have arcs of their own, so that each part has its share of both.
 void EndpointSet::rebuildSubset(Time now) {
     subsetDrawnAt_ = now;
-    for (Endpoint& endpoint : endpoints_) {
-        const double share = slowStart_.capacityShare(endpoint.entry, now);
-        if (endpoint.usable && share < 1) slowStart_.accrue(endpoint, share, capacity_);
-    }
-    capacity_ = FleetCapacity{};
+    const FleetCapacity previous = std::exchange(capacity_, FleetCapacity{});
     std::vector<Endpoint*> warm;
     std::vector<Endpoint*> warmingUp;
     for (Endpoint& endpoint : endpoints_) {
+        if (endpoint.usable) {
+            const double share = slowStart_.capacityShare(endpoint.entry, now);
+            if (share < 1) slowStart_.accrue(endpoint, share, previous);  // by its share of the old subset
+            capacity_.weight += endpoint.entry.weight;
+            capacity_.effectiveWeight += endpoint.entry.weight * share;
+            (share < 1 ? warmingUp : warm).push_back(&endpoint);
+        }
         if (isLargeFleet(settings_)) endpoint.subsetShare = 0;
-        if (!endpoint.usable) continue;
-        const double share = slowStart_.capacityShare(endpoint.entry, now);
-        capacity_.weight += endpoint.entry.weight;
-        capacity_.effectiveWeight += endpoint.entry.weight * share;
-        (share < 1 ? warmingUp : warm).push_back(&endpoint);
     }
     capacity_.hasWarmEndpoint = !warm.empty();
     if (!isLargeFleet(settings_)) return;
--- a/src/decision/endpoint_set.h
+++ b/src/decision/endpoint_set.h
@@ -2,6 +2,7 @@
 #pragma once
 
 #include <cstddef>
+#include <span>
 #include <unordered_map>
 #include <vector>
 
@@ -26,7 +27,7 @@
 
     // An endpoint keeps its slot while it is listed or has an attempt in flight.
     Endpoint& at(std::size_t slot) { return endpoints_[slot]; }
-    std::size_t slots() const { return endpoints_.size(); }
+    std::span<Endpoint> slots() { return endpoints_; }
 
     // Endpoints that are listed, draining ones too, or have an attempt in flight.
     std::size_t listed() const { return slotByName_.size(); }
--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -52,10 +52,9 @@
     return 1 + (std::max(1.0, settings_.overloadMultiple * kOverloadMargin) - 1) * pressure;
 }
 
-bool SlowStart::mayReceive(Endpoint& endpoint, const FleetCapacity& fleet, Time now) const {
-    const double share = capacityShare(endpoint.entry, now);
-    if (share >= 1) return true;
-    accrue(endpoint, share, fleet);
+bool SlowStart::mayReceive(Endpoint& endpoint, double capacityShare, const FleetCapacity& fleet) const {
+    if (capacityShare >= 1) return true;
+    accrue(endpoint, capacityShare, fleet);
     return endpoint.subsetShare > 0 && endpoint.slowStart.tokens >= 1;
 }
 
--- a/src/decision/slow_start.h
+++ b/src/decision/slow_start.h
@@ -39,7 +39,7 @@
     void accrue(Endpoint& endpoint, double capacityShare, const FleetCapacity& fleet) const;
 
     // Whether the endpoint may be sent an attempt now; one that is not warming up always may.
-    bool mayReceive(Endpoint& endpoint, const FleetCapacity& fleet, Time now) const;
+    bool mayReceive(Endpoint& endpoint, double capacityShare, const FleetCapacity& fleet) const;
 
     // An attempt of this work is sent to the endpoint.
     static void spend(Endpoint& endpoint, double relativeWork) { endpoint.slowStart.tokens -= relativeWork; }
