--- a/tests/client_disconnect_test.cpp
+++ b/tests/client_disconnect_test.cpp
@@ -38,16 +38,16 @@
     return text.replace(text.find("team"), 4, "free");
 }
 
-void answerReadiness(const GatewayProcess& gate) {  // what came before is handled once this is answered
-    Socket probe = gate.client();
+void answerReadiness(const GatewayProcess& gateway) {  // what came before is handled once this is answered
+    Socket probe = gateway.client();
     probe.write("GET /-/ready HTTP/1.1\r\n\r\n");
     probe.message();
 }
 
 // A client that stays is served next: nothing was begun before it, on new connections or on `links`.
-void expectOnlyTheOther(const GatewayProcess& gate, std::vector<Server*> servers, std::vector<Socket*> links,
-                        const std::string& note) {
-    Socket other = gate.client();
+void expectOnlyTheOther(const GatewayProcess& gateway, std::vector<Server*> servers,
+                        std::vector<Socket*> links, const std::string& note) {
+    Socket other = gateway.client();
     other.write(ofFree(request("spend", "other", 100'000, "x")));
     std::vector<pollfd> polls;
     for (Socket* link : links) polls.push_back({link->fd(), POLLIN, 0});
@@ -70,8 +70,8 @@
 }
 
 // Serves one request and leaves the connection that carried it idle.
-Socket idleLink(const GatewayProcess& gate, Server& endpoint) {
-    Socket client = gate.client();
+Socket idleLink(const GatewayProcess& gateway, Server& endpoint) {
+    Socket client = gateway.client();
     client.write(ofFree(request("load", "first", 100'000)));
     Socket link = endpoint.accept();
     link.message();
@@ -82,117 +82,117 @@
 
 // ---- While the counter is asked ------------------------------------------------------------------------
 
-class LeavingCounter : public testing::Test {
+class DisconnectWhileCounting : public testing::Test {
 protected:
-    LeavingCounter() { tenantId = customerOfAYoungSlice(); }
-    ~LeavingCounter() override { tenantId = usual; }
-    const std::string usual = tenantId;
+    DisconnectWhileCounting() { tenantId = customerOfAYoungSlice(); }
+    ~DisconnectWhileCounting() override { tenantId = defaults; }
+    const std::string defaults = tenantId;
 };
 
-TEST_F(LeavingCounter, WhoLeavesInWhateverMannerWhileItIsAskedIsNotSentOnAndItsChargeGoesBack) {
+TEST_F(DisconnectWhileCounting, WhoDisconnectsInWhateverMannerWhileItIsAskedIsNotSentOnAndItsChargeGoesBack) {
     for (const Manner& manner : kManners) {
         Server endpoint, counter;
-        GatewayProcess gate(Targets{target("w", endpoint)}, counted(),
-                            [&](Json& c) { c["counter"] = counter.address(); });
-        Socket client = gate.client();
+        GatewayProcess gateway(Targets{target("w", endpoint)}, counted(),
+                               [&](Json& c) { c["counter"] = counter.address(); });
+        Socket client = gateway.client();
         client.write(request("spend", "gone", 100'000, "x"));
         Socket at = counter.accept();
         EXPECT_TRUE(has(at.message(), "?add=1&"));
         manner.leave(client);
         EXPECT_TRUE(has(at.message(), "?add=-1&")) << manner.name;
         at.write(ok("2") + ok("1"));
-        expectOnlyTheOther(gate, {&endpoint}, {}, manner.name);
+        expectOnlyTheOther(gateway, {&endpoint}, {}, manner.name);
     }
 }
 
-TEST_F(LeavingCounter, WhoLeavesAsItsAnswerComesIsNotSentOnAndItsChargeGoesBack) {
+TEST_F(DisconnectWhileCounting, WhoDisconnectsAsItsAnswerComesIsNotSentOnAndItsChargeGoesBack) {
     for (const Manner& manner : kManners) {
         Server endpoint, counter;
-        GatewayProcess gate(Targets{target("w", endpoint)}, counted(),
-                            [&](Json& c) { c["counter"] = counter.address(); });
-        Socket link = idleLink(gate, endpoint);
-        Socket client = gate.client();
+        GatewayProcess gateway(Targets{target("w", endpoint)}, counted(),
+                               [&](Json& c) { c["counter"] = counter.address(); });
+        Socket link = idleLink(gateway, endpoint);
+        Socket client = gateway.client();
         client.write(request("spend", "gone", 100'000, "x"));
         Socket at = counter.accept();
         EXPECT_TRUE(has(at.message(), "?add=1&"));
-        gate.whileStopped([&] {
+        gateway.whileStopped([&] {
             at.write(ok("2"));
             manner.leave(client);
         });
         EXPECT_TRUE(has(at.message(), "?add=-1&")) << manner.name;  // with the next settlement
-        expectOnlyTheOther(gate, {&endpoint}, {&link}, manner.name);
+        expectOnlyTheOther(gateway, {&endpoint}, {&link}, manner.name);
     }
 }
 
 // The counter says nothing: a timer lets the request go on. Where the machine was so slow that this came
 // before the stop, the client had not left, and the wait is made longer.
-TEST_F(LeavingCounter, WhoLeavesAsTheWaitForItRunsOutIsNotSentOn) {
+TEST_F(DisconnectWhileCounting, WhoDisconnectsAsTheWaitForItRunsOutIsNotSentOn) {
     for (double wait = 1;; wait *= 3) {
         ASSERT_LT(wait, 30);
         Server endpoint, counter;
         Json s = counted();
         for (Json& c : s["classes"]) c["aimS"] = 10 * wait;
-        GatewayProcess gate(Targets{target("w", endpoint)}, s,
-                            [&](Json& c) { c["counter"] = counter.address(); });
-        Socket link = idleLink(gate, endpoint);
-        Socket client = gate.client();
+        GatewayProcess gateway(Targets{target("w", endpoint)}, s,
+                               [&](Json& c) { c["counter"] = counter.address(); });
+        Socket link = idleLink(gateway, endpoint);
+        Socket client = gateway.client();
         client.write(request("spend", "gone", 100'000, "x"));
         Socket at = counter.accept();
         EXPECT_TRUE(has(at.message(), "?add=1&"));
         bool early = false;
-        gate.whileStopped([&] {
+        gateway.whileStopped([&] {
             early = link.waitReadable(0);
             if (!early) ::poll(nullptr, 0, static_cast<int>(wait * 1000) + 100);
             client.close();
         });
         if (early) continue;
-        expectOnlyTheOther(gate, {&endpoint}, {&link}, "timer");
+        expectOnlyTheOther(gateway, {&endpoint}, {&link}, "timer");
         return;
     }
 }
 
 // ---- A request and its client's end are found together ---------------------------------------------------
 
-TEST(LeavingAtOnce, ARequestThatIsFoundTogetherWithItsClientsEndIsNotSentOn) {
+TEST(DisconnectWithRequest, ARequestThatIsFoundTogetherWithItsClientsEndIsNotSentOn) {
     for (const Manner& manner : kManners) {
         Server endpoint;
-        GatewayProcess gate(Targets{target("w", endpoint)}, patient());
-        Socket link = idleLink(gate, endpoint);
-        Socket client = gate.client();
-        answerReadiness(gate);  // the client is taken in by then
-        gate.whileStopped([&] {
+        GatewayProcess gateway(Targets{target("w", endpoint)}, patient());
+        Socket link = idleLink(gateway, endpoint);
+        Socket client = gateway.client();
+        answerReadiness(gateway);  // the client is taken in by then
+        gateway.whileStopped([&] {
             client.write(ofFree(request("spend", "gone", 100'000, "x")));
             manner.leave(client);
         });
-        expectOnlyTheOther(gate, {&endpoint}, {&link}, manner.name);
+        expectOnlyTheOther(gateway, {&endpoint}, {&link}, manner.name);
     }
 }
 
 // What it sent ahead is not read yet and stands in front of its end.
-TEST(LeavingAtOnce, NorOneBehindWhichMoreWasSentAhead) {
+TEST(DisconnectWithRequest, NorOneBehindWhichMoreWasPipelined) {
     for (const Manner& manner : kManners) {
         Server endpoint;
-        GatewayProcess gate(Targets{target("w", endpoint)}, patient());
-        Socket link = idleLink(gate, endpoint);
-        Socket client = gate.client();
-        answerReadiness(gate);
-        gate.whileStopped([&] {
+        GatewayProcess gateway(Targets{target("w", endpoint)}, patient());
+        Socket link = idleLink(gateway, endpoint);
+        Socket client = gateway.client();
+        answerReadiness(gateway);
+        gateway.whileStopped([&] {
             client.write(ofFree(request("spend", "gone", 100'000, "x")) +
                          ofFree(request("spend", "behind", 100'000, std::string(30'000, 'x'))));
             manner.leave(client);
         });
-        expectOnlyTheOther(gate, {&endpoint}, {&link}, manner.name);
+        expectOnlyTheOther(gateway, {&endpoint}, {&link}, manner.name);
     }
 }
 
 // The same bytes from one that stays: both are served, in order.
-TEST(LeavingAtOnce, OneThatSentMuchAheadAndStaysIsServed) {
+TEST(DisconnectWithRequest, OneThatPipelinedMuchAndStaysIsServed) {
     Server endpoint;
-    GatewayProcess gate(Targets{target("w", endpoint)}, patient());
-    Socket link = idleLink(gate, endpoint);
-    Socket client = gate.client();
-    answerReadiness(gate);
-    gate.whileStopped([&] {
+    GatewayProcess gateway(Targets{target("w", endpoint)}, patient());
+    Socket link = idleLink(gateway, endpoint);
+    Socket client = gateway.client();
+    answerReadiness(gateway);
+    gateway.whileStopped([&] {
         client.write(ofFree(request("spend", "r1", 100'000, "x")) +
                      ofFree(request("spend", "r2", 100'000, std::string(30'000, 'x'))));
     });
@@ -203,26 +203,26 @@
     }
 }
 
-TEST(LeavingAtOnce, WhatAClientThatLeftHadSentAheadNeverBegins) {
+TEST(DisconnectWithRequest, WhatAClientThatDisconnectedHadPipelinedNeverBegins) {
     for (const Manner& manner : kManners) {
         for (const bool stopped : {false, true}) {
             Server endpoint;
-            GatewayProcess gate(Targets{target("w", endpoint)}, patient());
-            Socket client = gate.client();
+            GatewayProcess gateway(Targets{target("w", endpoint)}, patient());
+            Socket client = gateway.client();
             client.write(ofFree(request("spend", "r1", 100'000, "x")) +
                          ofFree(request("spend", "r2", 100'000, "x")));
             Socket link = endpoint.accept();
             EXPECT_TRUE(has(link.message(), "Request-Id: r1"));
             if (stopped) {  // its first one is answered just then
-                gate.whileStopped([&] {
+                gateway.whileStopped([&] {
                     link.write(ok("x"));
                     manner.leave(client);
                 });
-                expectOnlyTheOther(gate, {&endpoint}, {&link}, manner.name);
+                expectOnlyTheOther(gateway, {&endpoint}, {&link}, manner.name);
             } else {
                 manner.leave(client);
                 EXPECT_TRUE(link.atEnd()) << manner.name;  // called off
-                expectOnlyTheOther(gate, {&endpoint}, {}, manner.name);
+                expectOnlyTheOther(gateway, {&endpoint}, {}, manner.name);
             }
         }
     }
@@ -231,25 +231,25 @@
 // ---- While its connection to an endpoint comes up
 // -----------------------------------------------------
 
-TEST(LeavingDial, WhoLeavesAsTheConnectionComesUpIsNotSentOn) {
+TEST(DisconnectWhileConnecting, WhoDisconnectsAsTheConnectionComesUpIsNotSentOn) {
     for (const bool cancellationAllowed : {true, false}) {
         for (const Manner& manner : kManners) {
             Server full(0);  // its queue takes one connection; the next comes up once that is accepted
             Socket plug = connectTo(full.port);
             Json s = patient();
             s["allowed"]["cancel"] = cancellationAllowed;
-            GatewayProcess gate(Targets{target("w", full)}, s);
-            Socket client = gate.client();
+            GatewayProcess gateway(Targets{target("w", full)}, s);
+            Socket client = gateway.client();
             client.write(ofFree(request("spend", "gone", 100'000, "x")));
-            answerReadiness(gate);  // it is connected for by then
+            answerReadiness(gateway);  // it is connected for by then
             Socket link;
-            gate.whileStopped([&] {
+            gateway.whileStopped([&] {
                 full.accept();
                 link = full.accept();  // the kernel tries again after about 1 s
                 manner.leave(client);
             });
             EXPECT_TRUE(link.atEnd()) << manner.name;
-            expectOnlyTheOther(gate, {&full}, {}, manner.name);
+            expectOnlyTheOther(gateway, {&full}, {}, manner.name);
         }
     }
 }
@@ -257,7 +257,7 @@
 // ---- Between two attempts ------------------------------------------------------------------------------
 
 // The first attempt fails, and its client leaves, before either is found.
-TEST(LeavingRetry, WhoLeavesAsItsFirstAttemptFailsHasNoFurtherOne) {
+TEST(DisconnectBeforeRetry, WhoDisconnectsAsItsFirstAttemptFailsHasNoFurtherOne) {
     const std::pair<const char*, std::function<void(Socket&)>> failures[] = {
         {"turned away",
          [](Socket& s) { s.write("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"); }},
@@ -269,20 +269,20 @@
         for (const Manner& manner : kManners) {
             const std::string note = std::string(what) + ", " + manner.name;
             Server a, b;
-            GatewayProcess gate(Targets{target("a", a), target("b", b)}, patient());
-            Socket client = gate.client();
+            GatewayProcess gateway(Targets{target("a", a), target("b", b)}, patient());
+            Socket client = gateway.client();
             client.write(ofFree(request("load", "gone", 100'000)));
             pollfd both[] = {{a.fd(), POLLIN, 0}, {b.fd(), POLLIN, 0}};
             ASSERT_GT(::poll(both, 2, kTestTimeoutMs), 0);
             Socket link = (both[0].revents != 0 ? a : b).accept();
             link.message();
-            gate.whileStopped([&, &fail = fail] {
+            gateway.whileStopped([&, &fail = fail] {
                 fail(link);
                 manner.leave(client);
             });
             std::vector<Socket*> links;
             if (std::string(what) == "turned away" || std::string(what) == "failed") links.push_back(&link);
-            expectOnlyTheOther(gate, {&a, &b}, links, note);
+            expectOnlyTheOther(gateway, {&a, &b}, links, note);
         }
     }
 }
@@ -301,52 +301,52 @@
     return false;
 }
 
-TEST(LeavingRetry, WhoLeavesAsItsConnectionIsRefusedHasNoFurtherAttempt) {
+TEST(DisconnectBeforeRetry, WhoDisconnectsAsItsConnectionIsRefusedHasNoFurtherAttempt) {
     for (const Manner& manner : kManners) {
-        GatewayProcess gate(Targets{}, patient());
-        Socket watch = gate.discovery.accept();
+        GatewayProcess gateway(Targets{}, patient());
+        Socket watch = gateway.discovery.accept();
         watch.message();
         const auto announce = [&](int index, const Json& listed) {
             watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
                         listLine(index, false, {listed}));
             watch.close();
-            watch = gate.discovery.accept();  // the list is in force by then
+            watch = gateway.discovery.accept();  // the list is in force by then
             EXPECT_TRUE(has(watch.message(), "since=" + std::to_string(index) + " "));
         };
         // Made after the gateway's process, which would hold its descriptor open otherwise.
         Server full(0), endpoint;
         Socket plug = connectTo(full.port);
         announce(42, target("w", full));
-        Socket client = gate.client();
+        Socket client = gateway.client();
         client.write(ofFree(request("spend", "gone", 100'000, "x")));
-        answerReadiness(gate);
+        answerReadiness(gateway);
         ASSERT_TRUE(isDialled(full.port));
         announce(43, target("v", endpoint));  // somewhere to go to
-        gate.whileStopped([&] {
+        gateway.whileStopped([&] {
             full.close();
             while (isDialled(full.port)) ::poll(nullptr, 0, 1);  // the kernel tries again after about 1 s
             manner.leave(client);
         });
-        expectOnlyTheOther(gate, {&endpoint}, {}, manner.name);
+        expectOnlyTheOther(gateway, {&endpoint}, {}, manner.name);
     }
 }
 
 // Where nothing may be called off the attempt stays out; what it ends with is nobody's.
-TEST(LeavingRetry, AnAttemptThatMayNotBeCalledOffIsTheLast) {
+TEST(DisconnectBeforeRetry, AnAttemptThatMayNotBeCancelledIsTheLast) {
     for (const Manner& manner : kManners) {
         for (const bool reset : {true, false}) {
             Server a, b;
             Json s = patient();
             s["allowed"]["cancel"] = false;
-            GatewayProcess gate(Targets{target("a", a), target("b", b)}, s);
-            Socket client = gate.client();
+            GatewayProcess gateway(Targets{target("a", a), target("b", b)}, s);
+            Socket client = gateway.client();
             client.write(ofFree(request("load", "gone", 100'000)));
             pollfd both[] = {{a.fd(), POLLIN, 0}, {b.fd(), POLLIN, 0}};
             ASSERT_GT(::poll(both, 2, kTestTimeoutMs), 0);
             Socket link = (both[0].revents != 0 ? a : b).accept();
             link.message();
             manner.leave(client);
-            answerReadiness(gate);
+            answerReadiness(gateway);
             EXPECT_FALSE(link.waitReadable(0)) << manner.name;
             std::vector<Socket*> links;
             if (reset) {
@@ -355,7 +355,7 @@
                 link.write("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
                 links.push_back(&link);
             }
-            expectOnlyTheOther(gate, {&a, &b}, links, manner.name);
+            expectOnlyTheOther(gateway, {&a, &b}, links, manner.name);
         }
     }
 }
--- a/tests/connection_lifecycle_test.cpp
+++ b/tests/connection_lifecycle_test.cpp
@@ -28,16 +28,16 @@
 
 // ---- Requests sent ahead -------------------------------------------------------------------------------
 
-TEST(StandingAhead, TheTimeOfARequestCountsFromWhenItCameNotFromTheAnswerBeforeIt) {
+TEST(Pipelining, TheTimeOfARequestCountsFromWhenItCameNotFromTheAnswerBeforeIt) {
     Server endpoint;
-    GatewayProcess gate(Targets{target("w", endpoint)}, patient());
-    Socket client = gate.client();
+    GatewayProcess gateway(Targets{target("w", endpoint)}, patient());
+    Socket client = gateway.client();
     client.write(request("load", "r1", 100'000) + request("load", "r2", 100'000));
     Socket link = endpoint.accept();
     EXPECT_TRUE(has(link.message(), "Request-Id: r1"));
     ::poll(nullptr, 0, 600);
     client.write(request("load", "r3", 100'000));
-    Socket probe = gate.client();
+    Socket probe = gateway.client();
     EXPECT_EQ(readiness(probe), 200);  // r3 has been read by now
     ::poll(nullptr, 0, 600);
     for (const auto& [id, most] : {std::pair("r2", 98'800), std::pair("r3", 99'400)}) {
@@ -50,10 +50,10 @@
 }
 
 // By then the read of more was begun, and what was sent ahead has been taken out of the buffer.
-TEST(StandingAhead, WhatFollowsRequestsSentAheadIsReadAsItCame) {
+TEST(Pipelining, WhatFollowsRequestsPipelinedIsReadAsItCame) {
     Server endpoint;
-    GatewayProcess gate(Targets{target("w", endpoint)}, patient());
-    Socket client = gate.client();
+    GatewayProcess gateway(Targets{target("w", endpoint)}, patient());
+    Socket client = gateway.client();
     client.write(request("spend", "r1", 100'000, "x") + request("spend", "r2", 100'000, "x"));
     Socket link = endpoint.accept();
     for (const char* id : {"r1", "r2", "r3", "r4"}) {
@@ -66,10 +66,10 @@
     }
 }
 
-TEST(StandingAhead, HundredsAtOnceAreAnsweredInOrder) {
+TEST(Pipelining, HundredsAtOnceAreAnsweredInOrder) {
     Server endpoint;
-    GatewayProcess gate(Targets{target("w", endpoint)}, patient());
-    Socket client = gate.client();
+    GatewayProcess gateway(Targets{target("w", endpoint)}, patient());
+    Socket client = gateway.client();
     std::string all;
     for (int i = 0; i < 200; ++i) all += ofFree(request("load", "r" + std::to_string(i), 100'000));
     client.write(all);
@@ -83,10 +83,10 @@
 }
 
 // More than is kept for one connection: what has been taken in is answered, and then it ends.
-TEST(StandingAhead, OfMoreThanIsKeptWhatWasTakenInIsAnswered) {
+TEST(Pipelining, OfMoreThanIsKeptWhatWasTakenInIsAnswered) {
     Server endpoint;
-    GatewayProcess gate(Targets{target("w", endpoint)}, patient());
-    Socket client = gate.client();
+    GatewayProcess gateway(Targets{target("w", endpoint)}, patient());
+    Socket client = gateway.client();
     // Far more than the kernel holds: once it is written the gateway has read past what it keeps.
     for (int i = 0; i < 1000; ++i)
         client.write(request("spend", "r" + std::to_string(i), 100'000, std::string(30'000, 'x')));
@@ -110,15 +110,15 @@
     EXPECT_TRUE(client.atEnd());
 }
 
-TEST(StandingAhead, WhatWasTakenInBeforeAShutdownIsAnsweredBeforeTheConnectionEnds) {
+TEST(Pipelining, WhatWasTakenInBeforeAShutdownIsAnsweredBeforeTheConnectionEnds) {
     Server endpoint;
-    GatewayProcess gate(Targets{target("w", endpoint)}, patient());
-    Socket client = gate.client(), probe = gate.client();
+    GatewayProcess gateway(Targets{target("w", endpoint)}, patient());
+    Socket client = gateway.client(), probe = gateway.client();
     client.write(request("spend", "r0", 100'000, "x") + request("spend", "r1", 100'000, "x") +
                  request("spend", "r2", 100'000, "x"));
     Socket link = endpoint.accept();
     EXPECT_TRUE(has(link.message(), "Request-Id: r0\r\n"));
-    gate.terminate();
+    gateway.terminate();
     while (readiness(probe) == 200)
         ;
     for (int i = 0; i < 3; ++i) {
@@ -133,23 +133,23 @@
     EXPECT_TRUE(client.atEnd());
     client.close();
     probe.close();
-    EXPECT_EQ(gate.wait(), 0);
+    EXPECT_EQ(gateway.wait(), 0);
 }
 
 // Much that can't be read, and then a close or a reset: others are served on.
-TEST(StandingAhead, AFloodOfNoiseThatGoesCostsNobodyElse) {
+TEST(Pipelining, AFloodOfNoiseThatGoesCostsNobodyElse) {
     Server endpoint;
-    GatewayProcess gate(Targets{target("w", endpoint)}, patient());
+    GatewayProcess gateway(Targets{target("w", endpoint)}, patient());
     const std::string noise(2'000'000, '\n');
     for (int i = 0; i < 6; ++i) {
-        Socket bad = gate.client();
+        Socket bad = gateway.client();
         try {
             bad.write(i % 2 == 0 ? "nonsense\r\n\r\n" + noise : std::string(100'000, 'x'));
         } catch (const std::runtime_error&) {  // ended on it
         }
         i < 3 ? bad.close() : bad.reset();
     }
-    Socket client = gate.client();
+    Socket client = gateway.client();
     client.write(request("load", "r", 100'000));
     Socket link = endpoint.accept();
     link.message();
@@ -162,18 +162,18 @@
 
 // Found together with SIGTERM, a request on a resting connection is answered; what comes behind the end of
 // sending is not sent on, whether that end followed an answer or a rest.
-TEST(StandingShutdown, ARequestThatComesWithTheSignalIsAnsweredAndOneBehindTheEndIsNotSentOn) {
+TEST(BytesAtShutdown, ARequestThatComesWithTheSignalIsAnsweredAndOneBehindTheEndIsNotSentOn) {
     Server endpoint;
-    GatewayProcess gate(Targets{target("w", endpoint)}, patient(), [](Json& c) {
+    GatewayProcess gateway(Targets{target("w", endpoint)}, patient(), [](Json& c) {
         c["stillListenMs"] = 3600'000;
         c["idleStaysMs"] = 1;
     });
-    Socket used = gate.client(), resting = gate.client();
+    Socket used = gateway.client(), resting = gateway.client();
     EXPECT_EQ(readiness(used), 200);
     EXPECT_EQ(readiness(resting), 200);
-    gate.whileStopped([&] {
+    gateway.whileStopped([&] {
         used.write(request("spend", "with", 100'000, "x"));
-        gate.terminate();
+        gateway.terminate();
     });
     Socket link = endpoint.accept();
     EXPECT_TRUE(has(link.message(), "Request-Id: with\r\n"));
@@ -189,7 +189,7 @@
         } catch (const std::runtime_error&) {  // it was closed, not only shut
         }
     }
-    Socket other = gate.client();
+    Socket other = gateway.client();
     other.write(request("spend", "other", 100'000, "x"));
     EXPECT_TRUE(has(link.message(), "Request-Id: other\r\n"));
     link.write(ok("served"));
@@ -198,17 +198,17 @@
 }
 
 // A last answer is not overtaken by a reset, however much comes that nobody reads any more.
-TEST(StandingShutdown, ALastAnswerArrivesWholeThoughItsClientSendsOn) {
+TEST(BytesAtShutdown, ALastAnswerArrivesWholeThoughItsClientSendsOn) {
     Server endpoint;
-    GatewayProcess gate(Targets{target("w", endpoint)}, patient());
-    Socket client = gate.client();
+    GatewayProcess gateway(Targets{target("w", endpoint)}, patient());
+    Socket client = gateway.client();
     std::string last = request("spend", "r", 100'000, "x");
     last.insert(last.find("\r\n") + 2, "Connection: close\r\n");
     client.write(last);
     Socket link = endpoint.accept();
     link.message();
     const std::string body(60'000, 'b');
-    gate.whileStopped([&] {
+    gateway.whileStopped([&] {
         link.write(ok(body));
         client.write(std::string(50'000, 'x'));
     });
@@ -216,21 +216,21 @@
 }
 
 // Half a line, or more than one answer, comes from an endpoint as its connection is given up.
-TEST(StandingShutdown, WhatARecordsServerSaysAsItsConnectionIsClosedIsNobodysAnswer) {
+TEST(BytesAtShutdown, WhatAEndpointSaysAsItsConnectionIsClosedIsNobodysAnswer) {
     for (const std::string& said : {std::string("HTTP/1.1 200 O"), ok("late")}) {
         Server endpoint;
-        GatewayProcess gate(Targets{target("w", endpoint)}, patient());
-        Socket client = gate.client();
+        GatewayProcess gateway(Targets{target("w", endpoint)}, patient());
+        Socket client = gateway.client();
         client.write(request("spend", "gone", 100'000, "x"));
         Socket link = endpoint.accept();
         link.message();
-        gate.whileStopped([&] {
+        gateway.whileStopped([&] {
             client.close();
             link.write(said);
         });
         while (link.readSome()) {
         }
-        Socket other = gate.client();
+        Socket other = gateway.client();
         other.write(request("spend", "other", 100'000, "x"));
         Socket next = endpoint.accept();
         EXPECT_TRUE(has(next.message(), "Request-Id: other\r\n"));
@@ -243,7 +243,8 @@
 
 // One attempt at `a` that fails, and a further one whose connection comes up late.
 struct Late {
-    explicit Late(Json s) : gate(Targets{target("a", a)}, std::move(s)), watch(gate.discovery.accept()) {
+    explicit Late(Json s)
+        : gateway(Targets{target("a", a)}, std::move(s)), watch(gateway.discovery.accept()) {
         watch.message();
     }
     // Sends `text` and ends its first attempt with `failing`; false where no further one is connected for.
@@ -255,10 +256,10 @@
         watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
                     listLine(42, true, {target("full", full)}));
         watch.close();
-        watch = gate.discovery.accept();  // the list is in force by then
+        watch = gateway.discovery.accept();  // the list is in force by then
         failing(link);
         pollfd end{client.fd(), POLLIN, 0};
-        Socket probe = gate.client();
+        Socket probe = gateway.client();
         readiness(probe);
         return ::poll(&end, 1, 0) == 0;
     }
@@ -270,12 +271,12 @@
 
     Server a, full{0};  // full's queue takes one connection; the next comes up once that is accepted
     Socket plug = connectTo(full.port);
-    GatewayProcess gate;
+    GatewayProcess gateway;
     Socket watch;
-    Socket client = gate.client();
+    Socket client = gateway.client();
 };
 
-TEST(StandingLate, AFurtherAttemptTellsWhatIsLeftWhenItIsWritten) {
+TEST(LateConnections, AFurtherAttemptTellsWhatIsLeftWhenItIsWritten) {
     Late late(patient());
     ASSERT_TRUE(late.begin(request("spend", "r", 100'000, "x"), [](Socket& link) {
         link.write("HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
@@ -288,7 +289,7 @@
 }
 
 // Where the machine was so slow that the window was over before the further attempt, it is made longer.
-TEST(StandingLate, AKeyedOneWhoseConnectionComesUpAfterTheWindowIsNotWritten) {
+TEST(LateConnections, AWithKeyOneWhoseConnectionComesUpAfterTheWindowIsNotWritten) {
     for (const char* deduplicationScope : {"all", "zone", "cell"}) {
         for (double window = 1;; window *= 3) {
             ASSERT_LT(window, 30);
@@ -310,7 +311,7 @@
     }
 }
 
-TEST(StandingLate, AKeyedOneWhoseConnectionComesUpWithinTheWindowIsWritten) {
+TEST(LateConnections, AWithKeyOneWhoseConnectionComesUpWithinTheWindowIsWritten) {
     Json s = patient();
     s["classes"][1]["windowS"] = 400;
     Late late(s);
@@ -322,15 +323,15 @@
 }
 
 // Whichever is chosen first, the connection that does not come up costs its time limit and no request.
-TEST(StandingLate, OneThatNeverComesUpIsGivenUpAndAnotherIsTried) {
+TEST(LateConnections, OneThatNeverComesUpIsGivenUpAndAnotherIsTried) {
     Server full(0), endpoint;
     Socket plug = connectTo(full.port);
     Json s = patient();
     s["allowed"]["dialTimeoutS"] = 0.2;
-    GatewayProcess gate(Targets{target("full", full), target("w", endpoint)}, s);
+    GatewayProcess gateway(Targets{target("full", full), target("w", endpoint)}, s);
     Socket link;
     for (int i = 0; i < 4; ++i) {
-        Socket client = gate.client();
+        Socket client = gateway.client();
         client.write(ofFree(request("spend", "r" + std::to_string(i), 100'000, "x")));
         if (i == 0) link = endpoint.accept();
         EXPECT_TRUE(has(link.message(), "Request-Id: r" + std::to_string(i)));
@@ -342,19 +343,19 @@
 // ---- Answers -------------------------------------------------------------------------------------------
 
 // A reset is no end of an answer without a length, nor of one in chunks.
-TEST(StandingAnswers, OneThatIsResetOnTheWayIsNotServed) {
+TEST(SpoiltResponses, OneThatIsResetOnTheWayIsNotServed) {
     for (const char* begun :
          {"HTTP/1.1 200 OK\r\n\r\nhalf", "HTTP/1.0 200 OK\r\nContent-Type: text/plain\r\n\r\n",
           "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
           "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"}) {
         Server endpoint;
-        GatewayProcess gate(Targets{target("w", endpoint)}, patient());
+        GatewayProcess gateway(Targets{target("w", endpoint)}, patient());
         for (const char* cls : {"load", "spend"}) {
-            Socket client = gate.client();
+            Socket client = gateway.client();
             client.write(request(cls, "r", 100'000));
             Socket link = endpoint.accept();
             link.message();
-            gate.whileStopped([&] {
+            gateway.whileStopped([&] {
                 link.write(begun);
                 link.reset();
             });
@@ -371,10 +372,10 @@
 }
 
 // Each byte comes by itself, none of them too late for the one before: it ends by its own time.
-TEST(StandingAnswers, OneThatNeverEndsLeavesTimeForAnother) {
+TEST(SpoiltResponses, OneThatNeverEndsLeavesTimeForAnother) {
     Server endpoint;
-    GatewayProcess gate(Targets{target("w", endpoint)}, patient());
-    Socket client = gate.client();
+    GatewayProcess gateway(Targets{target("w", endpoint)}, patient());
+    Socket client = gateway.client();
     client.write(request("load", "r", 100'000));
     Socket link = endpoint.accept();
     link.message();
--- a/tests/descriptor_limit_test.cpp
+++ b/tests/descriptor_limit_test.cpp
@@ -24,10 +24,10 @@
     return statusOf(client.message());
 }
 
-class NetDescriptors : public testing::TestWithParam<Descriptors> {
+class DescriptorLimits : public testing::TestWithParam<Descriptors> {
 protected:
-    NetDescriptors() { tenantId = customerOfAYoungSlice(); }
-    ~NetDescriptors() override { tenantId = usual; }
+    DescriptorLimits() { tenantId = customerOfAYoungSlice(); }
+    ~DescriptorLimits() override { tenantId = defaults; }
 
     static Json settingsOf(const std::string& discovery) {
         Json s = settings();
@@ -40,34 +40,34 @@
     // Far more than it may hold: each has been answered once and rests from then on, or stands in the queue.
     void crowd() {
         for (rlim_t i = 0; i < GetParam().limit; ++i) {
-            resting.push_back(gate.client());
+            resting.push_back(gateway.client());
             EXPECT_EQ(readiness(resting.back()), 200);
         }
-        for (int i = 0; i < 200; ++i) resting.push_back(gate.client());
+        for (int i = 0; i < 200; ++i) resting.push_back(gateway.client());
     }
 
-    const std::string usual = tenantId;
+    const std::string defaults = tenantId;
     Server endpoint, counter, discovery{Server::kRefusing};
-    GatewayProcess gate{Targets{target("w", endpoint)}, settingsOf(GetParam().discovery),
-                        [this](Json& c) {
-                            c["limits"]["sockets"] = GetParam().sockets;
-                            c["mostPartialMs"] = 3600'000;  // those that say nothing stay, too
-                            c["counter"] = counter.address();
-                            c["discovery"] = discovery.address();
-                        },
-                        GetParam().limit};
+    GatewayProcess gateway{Targets{target("w", endpoint)}, settingsOf(GetParam().discovery),
+                           [this](Json& c) {
+                               c["limits"]["sockets"] = GetParam().sockets;
+                               c["mostPartialMs"] = 3600'000;  // those that say nothing stay, too
+                               c["counter"] = counter.address();
+                               c["discovery"] = discovery.address();
+                           },
+                           GetParam().limit};
     std::list<Socket> resting;
 };
 
-INSTANTIATE_TEST_SUITE_P(Limits, NetDescriptors,
+INSTANTIATE_TEST_SUITE_P(Limits, DescriptorLimits,
                          testing::Values(Descriptors{256, 256, "push"}, Descriptors{256, 256, "ask"},
                                          Descriptors{1024, 256, "push"}, Descriptors{1024, 256, "ask"},
                                          Descriptors{4096, 1024, "push"}, Descriptors{4096, 1024, "ask"}));
 
 // Discovery is called in time for the term, timed by a request as in discovery_test.
-TEST_P(NetDescriptors, DiscoveryIsCalledWhileClientsRest) {
+TEST_P(DescriptorLimits, DiscoveryIsCalledWhileClientsAreIdle) {
     crowd();
-    Socket client = gate.client();
+    Socket client = gateway.client();
     std::string clock = request("load", "clock", 5900);
     client.write(clock.replace(clock.find("team"), 4, "free"));
     ASSERT_TRUE(endpoint.waitReadable());  // it is out, and held until its time is up
@@ -78,9 +78,9 @@
     EXPECT_TRUE(has(call.message(), "since=41 "));
 }
 
-TEST_P(NetDescriptors, TheCounterAndARecordsServerAreDialledAndNewClientsAnswered) {
+TEST_P(DescriptorLimits, TheCounterAndAEndpointAreConnectedAndNewClientsAnswered) {
     crowd();
-    Socket fresh = gate.client();
+    Socket fresh = gateway.client();
     EXPECT_EQ(readiness(fresh), 200);
     fresh.write(request("load", "r", 8000));
     Socket count = counter.accept();
@@ -91,15 +91,15 @@
     at.write(ok("served"));
     EXPECT_EQ(statusOf(fresh.message()), 200);
     for (int i = 0; i < 20; ++i) {
-        Socket next = gate.client();
+        Socket next = gateway.client();
         EXPECT_EQ(readiness(next), 200);
     }
 }
 
-TEST_P(NetDescriptors, ANewConfigurationIsReadAndItsDiscoveryCalled) {
+TEST_P(DescriptorLimits, ANewConfigurationIsReadAndItsDiscoveryCalled) {
     Server next;
     crowd();
-    gate.reload(next);
+    gateway.reload(next);
     Socket call = next.accept();
     EXPECT_TRUE(has(call.message(), "GET /api/targets HTTP/1.1\r\n"));
     call.write(ok(Json{{"index", 3}, {"snapshot", true}, {"endpoints", Targets{}}}.dump()));
--- a/tests/event_race_test.cpp
+++ b/tests/event_race_test.cpp
@@ -15,12 +15,12 @@
 // ---- The list of endpoints --------------------------------------------------------------------
 
 // A line that ends inside an object is no end of it; nor is a bracket inside a text.
-TEST(CrossingList, ObjectsComeIndentedInPiecesOrSeveralAtOnce) {
+TEST(DiscoveryRaces, ObjectsComeIndentedInPiecesOrSeveralAtOnce) {
     Server a, b;
     Json s = settings();
     s["rules"]["drainGraceS"] = 600;  // the list alone keeps attempts away from a
-    GatewayProcess gate(Targets{target("a", a)}, s);
-    Socket watch = gate.discovery.accept();
+    GatewayProcess gateway(Targets{target("a", a)}, s);
+    Socket watch = gateway.discovery.accept();
     watch.message();
     Json named = target("b", b);
     named["note"] = "}{ \\\" ]";
@@ -32,10 +32,10 @@
                 chunk(indented.substr(40) + "\n\n") +
                 chunk(list(44, {named}).dump(4) + list(45, {named}).dump()));
     watch.close();
-    Socket next = gate.discovery.accept();
+    Socket next = gateway.discovery.accept();
     EXPECT_TRUE(has(next.message(), "since=45 "));  // all three were taken
     for (int i = 0; i < 3; ++i) {
-        Socket client = gate.client();
+        Socket client = gateway.client();
         client.write(request("spend", "r" + std::to_string(i), 8000, "x"));
         Socket at = b.accept();
         at.message();
@@ -46,24 +46,24 @@
 }
 
 // What can't be read changes nothing, and the next watch asks from the last good version.
-TEST(CrossingList, AnUnreadableOneEndsItsWatchAndTheNextAsksFromTheLastGoodVersion) {
+TEST(DiscoveryRaces, AnUnreadableOneEndsItsWatchAndTheNextAsksFromTheLastGoodVersion) {
     Server endpoint;
-    GatewayProcess gate(Targets{target("w", endpoint)});
+    GatewayProcess gateway(Targets{target("w", endpoint)});
     int index = 42;
     for (const std::string& spoilt :
          {std::string("noise\n"), std::string("{\"index\": 50, \"snapshot\"}\n"),
           std::string("{\"index\": -1, \"snapshot\": true, \"endpoints\": []}\n"),
           std::string("{\n  \"index\": 51,\n  \"snapshot\": true,\n  \"endpoints\": [{}]\n}\n")}) {
-        Socket watch = gate.discovery.accept();
+        Socket watch = gateway.discovery.accept();
         watch.message();
         watch.write(kWatchHead + listLine(index, false, {}) + chunk(spoilt));
         EXPECT_TRUE(watch.atEnd()) << spoilt;
-        Socket next = gate.discovery.accept();
+        Socket next = gateway.discovery.accept();
         EXPECT_TRUE(has(next.message(), "since=" + std::to_string(index) + " ")) << spoilt;
         next.close();
         ++index;
     }
-    Socket client = gate.client();
+    Socket client = gateway.client();
     client.write(request("load", "r"));
     Socket at = endpoint.accept();
     at.message();
@@ -73,36 +73,36 @@
 
 // Its last word counts, not a window that began before it: 2.3 s after that, so before a request that came
 // just behind it runs out after 3.9 s, another watch is open.
-TEST(CrossingList, AWatchThatFallsSilentRightAfterAWordIsOpenedAnewInTime) {
+TEST(DiscoveryRaces, AWatchThatFallsSilentRightAfterAWordIsOpenedAnewInTime) {
     Server endpoint;
-    GatewayProcess gate(Targets{target("w", endpoint)});
-    Socket watch = gate.discovery.accept();
+    GatewayProcess gateway(Targets{target("w", endpoint)});
+    Socket watch = gateway.discovery.accept();
     watch.message();
     watch.write(kWatchHead + chunk("\n"));
-    Socket client = gate.client();
+    Socket client = gateway.client();
     client.write(request("load", "r", 3900));
     EXPECT_NE(statusOf(client.message()), 200);
-    EXPECT_TRUE(gate.discovery.waitReadable(0));
+    EXPECT_TRUE(gateway.discovery.waitReadable(0));
 }
 
 // One that turned its caller away is let off for long; one that fell silent missed what counts 6 s later.
-TEST(CrossingList, WhereItMustBeAskedOneThatFallsSilentIsAskedAgainSoon) {
+TEST(DiscoveryRaces, WhereItMustBeAskedOneThatFallsSilentIsAskedAgainSoon) {
     Json s = settings();
     s["discovery"] = "ask";
     s["rules"]["mustAskInS"] = 3600;
-    GatewayProcess gate(Targets{}, s);
-    Socket watch = gate.discovery.accept();
+    GatewayProcess gateway(Targets{}, s);
+    Socket watch = gateway.discovery.accept();
     watch.message();
     watch.write(kWatchHead + chunk("\n"));
-    Socket next = gate.discovery.accept();
+    Socket next = gateway.discovery.accept();
     EXPECT_TRUE(has(next.message(), "since=41 "));
     EXPECT_TRUE(watch.atEnd());
     // That one is not answered: it stays open while one more is made beside it, and is not thrown away with
     // what may yet come. Nor is another made soon: others wait in the same queue.
-    Socket beside = gate.discovery.accept();
+    Socket beside = gateway.discovery.accept();
     EXPECT_TRUE(has(beside.message(), "since=41 "));
     EXPECT_FALSE(next.waitReadable(0));
-    EXPECT_FALSE(gate.discovery.waitReadable(2000));
+    EXPECT_FALSE(gateway.discovery.waitReadable(2000));
     beside.write(kWatchHead + chunk("\n"));
     EXPECT_TRUE(next.atEnd());
 }
@@ -113,13 +113,13 @@
 }
 
 // What the agent has counts as told from the first moment of a process: its list is waited for.
-TEST(CrossingList, ANewProcessIsReadyOnceItsAgentToldWhatItHas) {
+TEST(DiscoveryRaces, ANewProcessIsReadyOnceItsAgentToldWhatItHas) {
     Server endpoint;
     const auto waits = [](int ms) { return [ms](Json& c) { c["listWaitMs"] = ms; }; };
-    GatewayProcess gate(Targets{target("w", endpoint)}, settings(), waits(3600'000));
-    Socket watch = gate.discovery.accept();
+    GatewayProcess gateway(Targets{target("w", endpoint)}, settings(), waits(3600'000));
+    Socket watch = gateway.discovery.accept();
     watch.message();
-    Socket client = gate.client();
+    Socket client = gateway.client();
     EXPECT_EQ(readiness(client), 503);
     watch.write(kWatchHead + listLine(41, false, {}));
     while (readiness(client) != 200)
@@ -134,12 +134,12 @@
 // ---- Clients that leave ---------------------------------------------------------------------------
 
 // A counter that is asked and holds its answer; who leaves meanwhile is not sent on.
-class CrossingCounter : public testing::Test {
+class CounterRaces : public testing::Test {
 protected:
-    CrossingCounter() { tenantId = customerOfAYoungSlice(); }
-    ~CrossingCounter() override { tenantId = usual; }
+    CounterRaces() { tenantId = customerOfAYoungSlice(); }
+    ~CounterRaces() override { tenantId = defaults; }
 
-    const std::string usual = tenantId;
+    const std::string defaults = tenantId;
     static Json counted() {
         Json s = settings();
         s["domain"] = {{"mayCount", true}, {"counterTimeoutS", 20}, {"maxUnits", 4}};
@@ -147,12 +147,12 @@
         return s;
     }
     Server endpoint, counter;
-    GatewayProcess gate{Targets{target("w", endpoint)}, counted(),
-                        [this](Json& c) { c["counter"] = counter.address(); }};
+    GatewayProcess gateway{Targets{target("w", endpoint)}, counted(),
+                           [this](Json& c) { c["counter"] = counter.address(); }};
 };
 
-TEST_F(CrossingCounter, OneThatSentMuchAheadAndLeftIsSeenToHaveLeftAndNotSentOn) {
-    Socket client = gate.client();
+TEST_F(CounterRaces, OneThatPipelinedMuchAndLeftIsSeenToHaveLeftAndNotSentOn) {
+    Socket client = gateway.client();
     client.write(request("load", "r1", 100'000));
     Socket at = counter.accept();
     EXPECT_TRUE(has(at.message(), "?add=1&"));
@@ -162,7 +162,7 @@
     client.close();
     EXPECT_TRUE(has(at.message(), "?add=-1&"));  // its charge goes back
     at.write(ok("1") + ok("0"));
-    Socket other = gate.client();
+    Socket other = gateway.client();
     other.write(request("load", "r2", 100'000));
     EXPECT_TRUE(has(at.message(), "?add=1&"));
     at.write(ok("2"));  // not the first in its slice: the closed one is not read
@@ -175,7 +175,7 @@
 
 // Its connection is still coming up: what never went out draws nothing from the quota and never will go out,
 // also where no attempt may be called off.
-TEST_F(CrossingCounter, OneThatLeftWhileItsConnectionCameUpIsNotSentOnAndItsChargeGoesBack) {
+TEST_F(CounterRaces, OneThatDisconnectedWhileItsConnectionCameUpIsNotSentOnAndItsChargeGoesBack) {
     for (const bool cancellationAllowed : {true, false}) {
         Server full(0);  // its queue takes one connection; the next does not come up until that is accepted
         Socket plug = connectTo(full.port);
@@ -210,17 +210,17 @@
 // ---- Connections that stand idle ---------------------------------------------------------------------
 
 // The request is found before the end of the connection that would carry it: both have come by then.
-TEST(CrossingIdle, OneWhoseEndHasComeButIsNotReadYetCarriesNoUnsafeRequest) {
+TEST(IdleConnectionRaces, OneWhoseEndHasComeButIsNotReadYetCarriesNoNotIdempotentRequest) {
     for (const bool reset : {false, true}) {
         Server endpoint;
-        GatewayProcess gate(Targets{target("w", endpoint)});
-        Socket client = gate.client();
+        GatewayProcess gateway(Targets{target("w", endpoint)});
+        Socket client = gateway.client();
         client.write(request("load", "r1"));
         Socket at = endpoint.accept();
         at.message();
         at.write(ok("one"));
         EXPECT_EQ(statusOf(client.message()), 200);
-        gate.whileStopped([&] {
+        gateway.whileStopped([&] {
             client.write(request("spend", "r2", 8000, "x"));
             reset ? at.reset() : at.close();
         });
@@ -232,10 +232,11 @@
 }
 
 // The second answer comes when the next request is on its way: on the same connection it would be served.
-TEST(CrossingIdle, ASecondAnswerThatComesLateIsNoOtherRequests) {
+TEST(IdleConnectionRaces, ASecondAnswerThatComesLateIsNoOtherRequests) {
     Server endpoint;
-    GatewayProcess gate(Targets{target("w", endpoint)}, settings(), [](Json& c) { c["restMs"] = 3600'000; });
-    Socket client = gate.client();
+    GatewayProcess gateway(Targets{target("w", endpoint)}, settings(),
+                           [](Json& c) { c["restMs"] = 3600'000; });
+    Socket client = gateway.client();
     client.write(request("load", "r1"));
     Socket at = endpoint.accept();
     at.message();
@@ -253,17 +254,17 @@
 // ---- The end of a process ---------------------------------------------------------------------------
 
 // A request that crosses the end of its idle connection is sent once more: somebody still listens then.
-TEST(CrossingShutdown, IdleConnectionsEndWhileNewOnesAreStillTaken) {
+TEST(ShutdownRaces, IdleConnectionsEndWhileNewOnesAreStillTaken) {
     Server endpoint;
-    GatewayProcess gate(Targets{target("w", endpoint)}, settings(), [](Json& c) {
+    GatewayProcess gateway(Targets{target("w", endpoint)}, settings(), [](Json& c) {
         c["stillListenMs"] = 3600'000;
         c["idleStaysMs"] = 1;
     });
-    Socket idle = gate.client();
+    Socket idle = gateway.client();
     EXPECT_EQ(readiness(idle), 200);
-    gate.terminate();
+    gateway.terminate();
     EXPECT_TRUE(idle.atEnd());
-    Socket again = gate.client();
+    Socket again = gateway.client();
     again.write(request("spend", "r", 8000, "x"));
     Socket at = endpoint.accept();
     at.message();
@@ -274,48 +275,48 @@
 }
 
 // Whatever the file says while it drains, what it has taken is answered, and the old peers stay.
-TEST(CrossingShutdown, ASighupWhileItDrainsWithAFileThatCantBeReadChangesNothing) {
+TEST(ShutdownRaces, ASighupWhileItDrainsWithAFileThatCantBeReadChangesNothing) {
     Server endpoint, next;
-    GatewayProcess gate(Targets{target("w", endpoint)});
-    Socket watch = gate.discovery.accept();
+    GatewayProcess gateway(Targets{target("w", endpoint)});
+    Socket watch = gateway.discovery.accept();
     watch.message();
-    Socket client = gate.client(), probe = gate.client();
+    Socket client = gateway.client(), probe = gateway.client();
     client.write(request("spend", "r", 8000, "x"));
     Socket at = endpoint.accept();
     at.message();
-    gate.terminate();
+    gateway.terminate();
     while (readiness(probe) == 200)
         ;
-    gate.reload("{\"discovery\": 7");
-    gate.reload(next);  // and one that can: it is gone over to, as before the drain
+    gateway.reload("{\"discovery\": 7");
+    gateway.reload(next);  // and one that can: it is gone over to, as before the drain
     EXPECT_TRUE(has(next.accept().message(), "GET /api/targets HTTP/1.1"));
     EXPECT_TRUE(watch.atEnd());
     at.write(ok("served"));
     EXPECT_EQ(statusOf(client.message()), 200);
     client.close();
-    EXPECT_EQ(gate.wait(), 0);
+    EXPECT_EQ(gateway.wait(), 0);
 }
 
 // What the last answer settles goes to the counter soon after it: not before the process has ended.
-TEST(CrossingShutdown, WhatTheLastAnswerCostIsStillSettled) {
+TEST(ShutdownRaces, WhatTheLastAnswerCostIsStillReconciled) {
     Server endpoint, counter;
     Json s = settings();
     s["domain"] = {{"mayCount", true}, {"counterTimeoutS", 20}, {"maxUnits", 4}, {"postPaid", true}};
     s["contracts"][0] = {{"name", "team"}, {"perSecond", 8}, {"depth", 4}};  // slices of half a second
     for (Json& c : s["classes"]) c["aimS"] = c["deadlineS"] = 400;
-    GatewayProcess gate(Targets{target("w", endpoint)}, s, [&](Json& c) {
+    GatewayProcess gateway(Targets{target("w", endpoint)}, s, [&](Json& c) {
         c["counter"] = counter.address();
         c["stillListenMs"] = c["idleStaysMs"] = 1;
     });
-    Socket client = gate.client();
+    Socket client = gateway.client();
     client.write(request("load", "r", 100'000));
     Socket at = counter.accept();
     EXPECT_TRUE(has(at.message(), "?add=1&"));
     at.write(ok("2"));
     Socket link = endpoint.accept();
     link.message();
-    gate.terminate();
-    EXPECT_THROW(for (;;) gate.client(), std::runtime_error);  // until it listens no more
+    gateway.terminate();
+    EXPECT_THROW(for (;;) gateway.client(), std::runtime_error);  // until it listens no more
     link.write(ok("served", "X-Settled: 3\r\n"));
     EXPECT_EQ(statusOf(client.message()), 200);
     client.close();
@@ -330,17 +331,17 @@
     }
     EXPECT_TRUE(has(*call, "?add=2&")) << *call;
     at.write(ok("2"));
-    EXPECT_EQ(gate.wait(), 0);
+    EXPECT_EQ(gateway.wait(), 0);
 }
 
 // ---- Clients that send what can't be read -------------------------------------------------------------
 
 // Half a first request does not buy the time that its sender was silent before: both are ended together.
-TEST(CrossingClients, HalfARequestIsEndedByWhenItsConnectionCame) {
+TEST(PartialRequests, HalfARequestIsEndedByWhenItsConnectionCame) {
     Server endpoint;
-    GatewayProcess gate(Targets{target("w", endpoint)}, settings(),
-                        [](Json& c) { c["mostPartialMs"] = 1500; });
-    Socket late = gate.client(), early = gate.client(), probe = gate.client();
+    GatewayProcess gateway(Targets{target("w", endpoint)}, settings(),
+                           [](Json& c) { c["mostPartialMs"] = 1500; });
+    Socket late = gateway.client(), early = gateway.client(), probe = gateway.client();
     EXPECT_EQ(readiness(probe), 200);
     early.write("GET /load HTTP/1.1\r\nHost:");
     ::poll(nullptr, 0, 1000);
@@ -353,7 +354,7 @@
 
 // ---- Timers ----------------------------------------------------------------------------------------
 
-TEST(CrossingTimers, OneThatThrowsDoesNotStopTheOthers) {
+TEST(Timers, OneThatThrowsDoesNotStopTheOthers) {
     boost::asio::io_context io;
     TimerQueue timers(io);
     bool fired = false;
--- a/tests/gateway_server_test.cpp
+++ b/tests/gateway_server_test.cpp
@@ -1,21 +1,18 @@
-// The real gateway over loopback sockets: a forked process, and peers that the tests script.
+// Requests on their way through a gateway process; reload and shutdown.
 #include <gtest/gtest.h>
 
 #include <list>
-#include <vector>
+#include <memory>
 
-#include "net/counter/counter_client.h"
-#include "net/discovery/endpoint_list.h"
-#include "net/transport/backoff.h"
 #include "support/gateway_process.h"
 
 namespace gateway::net::test {
 namespace {
 
-TEST(NetGate, ForwardsUnchangedAndAnswersWithTheWorkersBody) {
+TEST(Forwarding, ForwardsUnchangedAndAnswersWithTheEndpointsBody) {
     Server endpoint;
-    GatewayProcess gate(Targets{target("w", endpoint)});
-    Socket client = gate.client();
+    GatewayProcess gateway(Targets{target("w", endpoint)});
+    Socket client = gateway.client();
     client.write(request("change", "r1", 8000, "gold=5"));
     Socket at = endpoint.accept();
     const std::string got = at.message();
@@ -33,9 +30,9 @@
     EXPECT_EQ(bodyOf(client.message()), "two");
 }
 
-TEST(NetGate, OddRequestsAreAnsweredHereAndNeverForwarded) {
+TEST(Forwarding, OddRequestsAreAnsweredHereAndNeverForwarded) {
     Server endpoint;
-    GatewayProcess gate(Targets{target("w", endpoint)});
+    GatewayProcess gateway(Targets{target("w", endpoint)});
     const auto changed = [](std::string text, const std::string& from, const std::string& to) {
         return text.replace(text.find(from), from.size(), to);
     };
@@ -63,7 +60,7 @@
         {"POST /-/ready HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 405},
     };
     for (const auto& [text, status] : cases) {
-        Socket client = gate.client();
+        Socket client = gateway.client();
         client.write(text);
         if (status == 200) {
             Socket at = endpoint.accept();
@@ -78,10 +75,10 @@
     EXPECT_FALSE(endpoint.waitReadable(0));
 }
 
-TEST(NetGate, AnIdInHandIsNotTakenTwice) {
+TEST(Forwarding, AnIdInHandIsNotTakenTwice) {
     Server endpoint;
-    GatewayProcess gate(Targets{target("w", endpoint)});
-    Socket first = gate.client(), second = gate.client();
+    GatewayProcess gateway(Targets{target("w", endpoint)});
+    Socket first = gateway.client(), second = gateway.client();
     first.write(request("load", "same"));
     Socket at = endpoint.accept();
     at.message();
@@ -91,16 +88,16 @@
     EXPECT_EQ(statusOf(first.message()), 200);
 }
 
-TEST(NetGate, ARefusedConnectionNeverRanSoAnUnsafeRequestGoesElsewhere) {
+TEST(Forwarding, ARefusedConnectionNeverRanSoAnNotIdempotentRequestGoesElsewhere) {
     auto refusing = std::make_unique<Server>();
     Server endpoint;
     const Json dead = target("dead", *refusing);
     refusing.reset();
-    GatewayProcess gate(Targets{dead, target("w", endpoint)});
+    GatewayProcess gateway(Targets{dead, target("w", endpoint)});
     // Whichever endpoint comes first, every request is served by the one that lives, once.
     std::list<Socket> connections;
     for (int i = 0; i < 4; ++i) {
-        Socket client = gate.client();
+        Socket client = gateway.client();
         client.write(request("spend", "r" + std::to_string(i), 8000, "x"));
         if (connections.empty()) connections.push_back(endpoint.accept());
         EXPECT_TRUE(has(connections.front().message(), "Request-Id: r" + std::to_string(i)));
@@ -109,13 +106,13 @@
     }
 }
 
-TEST(NetGate, ABreakAfterTheRequestWasWrittenMayHaveRunAndIsNotResent) {
+TEST(Forwarding, ABreakAfterTheRequestWasWrittenMayHaveRunAndIsNotResent) {
     Server a, b;
-    GatewayProcess gate(Targets{target("a", a), target("b", b)});
+    GatewayProcess gateway(Targets{target("a", a), target("b", b)});
     for (const std::string& said :
          {std::string(), std::string("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"),
           std::string("HTTP/1.1 200 OK\r\n\r\nno length"), std::string("garbage\r\n\r\n")}) {
-        Socket client = gate.client();
+        Socket client = gateway.client();
         client.write(request("spend", "r" + std::to_string(said.size()), 8000, "x"));
         pollfd both[] = {{a.fd(), POLLIN, 0}, {b.fd(), POLLIN, 0}};
         ASSERT_GT(::poll(both, 2, kTestTimeoutMs), 0);
@@ -132,10 +129,10 @@
     }
 }
 
-TEST(NetGate, TurnedAwayIsNeverRanAndGoesToTheOther) {
+TEST(Forwarding, RejectedIsNeverRanAndGoesToTheOther) {
     Server a, b;
-    GatewayProcess gate(Targets{target("a", a), target("b", b)});
-    Socket client = gate.client();
+    GatewayProcess gateway(Targets{target("a", a), target("b", b)});
+    Socket client = gateway.client();
     client.write(request("spend", "r", 8000, "x"));
     pollfd both[] = {{a.fd(), POLLIN, 0}, {b.fd(), POLLIN, 0}};
     ASSERT_GT(::poll(both, 2, kTestTimeoutMs), 0);
@@ -149,10 +146,10 @@
     EXPECT_EQ(bodyOf(client.message()), "yes");
 }
 
-TEST(NetGate, AnIdleConnectionThatEndedOrSpokeUnaskedIsNotUsedAgain) {
+TEST(Forwarding, AnIdleConnectionThatEndedOrSpokeUnaskedIsNotUsedAgain) {
     Server endpoint;
-    GatewayProcess gate(Targets{target("w", endpoint)});
-    Socket client = gate.client();
+    GatewayProcess gateway(Targets{target("w", endpoint)});
+    Socket client = gateway.client();
     client.write(request("load", "r1"));
     Socket at = endpoint.accept();
     at.message();
@@ -167,10 +164,10 @@
     EXPECT_EQ(bodyOf(client.message()), "two");
 }
 
-TEST(NetGate, AClientThatLeavesEndsItsAttempt) {
+TEST(Forwarding, AClientThatDisconnectsEndsItsAttempt) {
     Server endpoint;
-    GatewayProcess gate(Targets{target("w", endpoint)});
-    Socket client = gate.client();
+    GatewayProcess gateway(Targets{target("w", endpoint)});
+    Socket client = gateway.client();
     client.write(request("load", "r"));
     Socket at = endpoint.accept();
     at.message();
@@ -178,10 +175,10 @@
     EXPECT_TRUE(at.atEnd());
 }
 
-TEST(NetGate, ASilentWorkerEndsByTheDeadline) {
+TEST(Forwarding, ASilentEndpointEndsByTheDeadline) {
     Server endpoint;
-    GatewayProcess gate(Targets{target("w", endpoint)});
-    Socket client = gate.client();
+    GatewayProcess gateway(Targets{target("w", endpoint)});
+    Socket client = gateway.client();
     client.write(request("spend", "r", 1500, "x"));
     Socket at = endpoint.accept();
     at.message();
@@ -190,10 +187,10 @@
     EXPECT_TRUE(at.atEnd());  // the attempt's connection is closed, never used again
 }
 
-TEST(NetGate, AWorkerThatIsCutOffLosesItsIdleConnections) {
+TEST(Forwarding, AEndpointThatIsCutOffLosesItsIdleConnections) {
     Server endpoint;
-    GatewayProcess gate(Targets{target("w", endpoint)});
-    Socket clients[] = {gate.client(), gate.client()};
+    GatewayProcess gateway(Targets{target("w", endpoint)});
+    Socket clients[] = {gateway.client(), gateway.client()};
     for (Socket& c : clients) c.write(request("load", c.fd() == clients[0].fd() ? "r1" : "r2"));
     Socket links[] = {endpoint.accept(), endpoint.accept()};
     for (Socket& link : links) link.message();
@@ -208,10 +205,10 @@
 }
 
 // Beast 1.74 forgets its limit where the body begins in the same read as the head: 3 GB would be taken in.
-TEST(NetGate, AnAnswerThatAnnouncesTooMuchIsSpoiltAtOnceAndAnotherIsAsked) {
+TEST(Forwarding, AnAnswerThatAnnouncesTooMuchIsSpoiltAtOnceAndAnotherIsAsked) {
     Server endpoint;
-    GatewayProcess gate(Targets{target("w", endpoint)});
-    Socket client = gate.client();
+    GatewayProcess gateway(Targets{target("w", endpoint)});
+    Socket client = gateway.client();
     client.write(request("load", "r"));
     Socket at = endpoint.accept();
     at.message();
@@ -225,10 +222,10 @@
 
 // A head that does not end, a body that stops short: the connection says nothing more, and there is time for
 // another attempt. Interim answers are none of these, and noise is no load report.
-TEST(NetGate, AnAnswerThatHasBegunAndDoesNotEndLeavesTimeForAnother) {
+TEST(Forwarding, AnAnswerThatHasBegunAndDoesNotEndLeavesTimeForAnother) {
     Server endpoint;
-    GatewayProcess gate(Targets{target("w", endpoint)});
-    Socket client = gate.client();
+    GatewayProcess gateway(Targets{target("w", endpoint)});
+    Socket client = gateway.client();
     client.write(request("load", "r"));
     for (const char* begun : {"HTTP/1.1 200 OK\r\nX: ", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab"}) {
         Socket at = endpoint.accept();
@@ -249,10 +246,10 @@
 }
 
 // What is said before the request is written answers nothing.
-TEST(NetGate, AnAnswerAheadOfItsRequestIsNotServed) {
+TEST(Forwarding, AnAnswerAheadOfItsRequestIsNotServed) {
     Server endpoint;
-    GatewayProcess gate(Targets{target("w", endpoint)});
-    Socket client = gate.client();
+    GatewayProcess gateway(Targets{target("w", endpoint)});
+    Socket client = gateway.client();
     client.write(request("load", "r1"));
     Socket at = endpoint.accept();
     at.message();
@@ -266,9 +263,9 @@
     EXPECT_EQ(bodyOf(client.message()), "two");
 }
 
-TEST(NetGate, WhatIsOutOfRangeOrHidesAnotherRequestIsAnsweredHere) {
+TEST(Forwarding, WhatIsOutOfRangeOrHidesAnotherRequestIsAnsweredHere) {
     Server endpoint;
-    GatewayProcess gate(Targets{target("w", endpoint)});
+    GatewayProcess gateway(Targets{target("w", endpoint)});
     const std::string inner = request("load", "hidden");
     const auto framed = [&](const std::string& headers) {
         std::string text = request("change", "r", 8000, "");
@@ -288,7 +285,7 @@
         {framed("Content-Length: 60000000\r\n"), 413},
     };
     for (const auto& [text, status] : cases) {
-        Socket client = gate.client();
+        Socket client = gateway.client();
         client.write(text);
         EXPECT_EQ(statusOf(client.message()), status) << text;
         EXPECT_TRUE(client.atEnd()) << text;
@@ -296,317 +293,24 @@
     EXPECT_FALSE(endpoint.waitReadable(0));
 }
 
-TEST(NetDiscovery, ReconnectsWithTheVersionItHasAndAFullListRemovesWhatItLacks) {
-    Server a, b;
-    Json s = settings();
-    s["rules"]["drainGraceS"] = 600;  // the list alone keeps attempts away from a
-    GatewayProcess gate(Targets{target("a", a)}, s);
-    {
-        Socket watch = gate.discovery.accept();
-        EXPECT_TRUE(has(watch.message(), "GET /api/targets?follow=1&since=41 "));
-        watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("\n") +
-                    listLine(43, false, {target("b", b)}));
-    }
-    Socket watch = gate.discovery.accept();
-    EXPECT_TRUE(has(watch.message(), "since=43 "));
-    watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
-                listLine(50, true, {target("b", b)}));
-    // A line is applied before the one behind it is asked for: the third watch shows that 50 is in force.
-    watch.close();
-    Socket third = gate.discovery.accept();
-    EXPECT_TRUE(has(third.message(), "since=50 "));
-    for (int i = 0; i < 4; ++i) {
-        Socket client = gate.client();
-        client.write(request("spend", "r" + std::to_string(i), 8000, "x"));
-        Socket at = b.accept();
-        at.message();
-        at.write("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-        EXPECT_EQ(statusOf(client.message()), 200);
-    }
-    EXPECT_FALSE(a.waitReadable(0));
-}
-
-// In a fleet that is replaced all day, those that are gone would be kept and walked for ever.
-TEST(NetDiscovery, WorkersThatAreGoneLeaveNothingBehind) {
-    Server endpoint;
-    GatewayProcess gate(Targets{});
-    Socket watch = gate.discovery.accept();
-    watch.message();
-    watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    int index = 42;
-    const auto serve = [&] {
-        const std::string name = "last" + std::to_string(index);
-        watch.write(listLine(++index, true, {target(name, endpoint)}));
-        for (;;) {  // until the list is in force
-            Socket client = gate.client();
-            client.write(request("load", name));
-            pollfd either[2] = {{client.fd(), POLLIN, 0}, {endpoint.fd(), POLLIN, 0}};
-            ASSERT_GT(::poll(either, 2, kTestTimeoutMs), 0);
-            if (either[1].revents == 0) continue;
-            Socket at = endpoint.accept();
-            at.message();
-            at.write("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-            EXPECT_EQ(statusOf(client.message()), 200);
-            return;
-        }
-    };
-    serve();
-    const long before = gate.residentKb();
-    for (int round = 0; round < 200; ++round) {
-        Targets fresh, removed;
-        for (int i = 0; i < 100; ++i) {
-            const std::string name = "s-" + std::to_string(round) + "-" + std::to_string(i);
-            fresh.push_back(target(name, endpoint));
-            removed.push_back(target(name, endpoint, "terminated"));
-        }
-        watch.write(listLine(++index, false, fresh));
-        watch.write(listLine(++index, false, removed));
-    }
-    serve();
-    EXPECT_LT(gate.residentKb() - before, 6000);
-}
-
-// A watch that was cut off says nothing and stays open; a live one sends an empty line every 2 s.
-TEST(NetDiscovery, ASilentWatchIsOpenedAnewFromTheVersionItHad) {
-    GatewayProcess gate(Targets{});
-    Socket silent = gate.discovery.accept();
-    silent.message();
-    Socket next = gate.discovery.accept();
-    EXPECT_TRUE(has(next.message(), "since=41 "));
-    EXPECT_TRUE(silent.atEnd());
-}
-
-// Discovery that has to be asked is one service for all: one that is turned away at its own moment comes
-// again at the next of these, 4.5 s later. The first call of a process is made at no such moment.
-TEST(NetDiscovery, WhereItMustBeAskedOneThatTurnsAwayIsLetOff) {
-    Json s = settings();
-    s["discovery"] = "ask";
-    s["rules"]["mustAskInS"] = 3600;
-    GatewayProcess gate(Targets{}, s);
-    for (int i = 0; i < 2; ++i) {
-        Socket watch = gate.discovery.accept();
-        watch.message();
-        watch.write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
-        EXPECT_TRUE(watch.atEnd());
-    }
-    EXPECT_FALSE(gate.discovery.waitReadable(2000));
-}
-
-TEST(Backoff, WaitsOfManyAreSpreadAndTheirBoundDoublesUntilThePeerAnswers) {
-    const Duration first = std::chrono::seconds(5), most = std::chrono::seconds(10);
-    std::vector<int> second(10), third(10);
-    for (std::uint64_t seed = 1; seed <= 400; ++seed) {
-        Backoff backoff(first, most, seed);
-        const Duration a = backoff.next(), b = backoff.next(), c = backoff.next();
-        EXPECT_LE(a, first);
-        EXPECT_LE(std::max(b, c), most);
-        ++second[static_cast<std::size_t>((a - Duration(1)) * 10 / first)];
-        ++third[static_cast<std::size_t>((c - Duration(1)) * 10 / most)];
-        backoff.reset();
-        EXPECT_LE(backoff.next(), first);
-    }
-    for (const int tenth : second) EXPECT_LT(tenth, 80);  // 40 in each were even
-    for (const int tenth : third) EXPECT_LT(tenth, 80);
-}
-
-TEST(NetDiscovery, AnAttemptThatStillDialsWritesNothingToAWorkerThatLeft) {
-    Server full(0);  // its queue takes one connection; the next does not come up until that is accepted
-    Socket plug = connectTo(full.port);
-    GatewayProcess gate(Targets{target("w", full)});
-    Socket watch = gate.discovery.accept();
-    watch.message();
-    watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    Socket client = gate.client();
-    client.write(request("spend", "r", 8000, "x"));
-    Socket probe = gate.client();  // served in order: the request before is in hand once this is answered
-    probe.write("GET /-/ready HTTP/1.1\r\n\r\n");
-    probe.message();
-    watch.write(listLine(60, false, {target("w", full, "terminating")}));
-    Socket first = full.accept();
-    Socket second = full.accept();  // comes up when the kernel tries again, about 1 s later: past the grace
-    EXPECT_TRUE(second.atEnd());
-    EXPECT_EQ(statusOf(client.message()), 429);  // never ran: refused
-}
-
-class NetCounter : public testing::Test {
-protected:
-    NetCounter() { tenantId = customerOfAYoungSlice(); }
-    ~NetCounter() override { tenantId = usual; }
-
-    const std::string usual = tenantId;
-    static Json counted() {
-        Json s = settings();
-        s["domain"] = {{"mayCount", true}, {"counterTimeoutS", 0.2}, {"maxUnits", 4}};
-        return s;
-    }
-    Server endpoint, counter;
-    GatewayProcess gate{Targets{target("w", endpoint)}, counted(),
-                        [this](Json& c) { c["counter"] = counter.address(); }};
-    Socket client = gate.client();
-
-    void serveAttempt(Socket& at) {
-        at.message();
-        at.write(ok("in"));
-        EXPECT_EQ(statusOf(client.message()), 200);
-    }
-};
-
-TEST_F(NetCounter, ACallIsMadeBeforeTheSendAndItsTotalDecides) {
-    client.write(request("load", "r1", 8000, "", "units=2.5,spread=1,first=0"));
-    Socket at = counter.accept();
-    const std::string call = at.message();
-    EXPECT_TRUE(has(call, "POST /v1/count/q" + std::to_string(std::stoull(tenantId, nullptr, 16)) + "."))
-        << call;
-    EXPECT_TRUE(has(call, "?add=2.5&ttl_ms=60000 HTTP/1.1\r\n")) << call;
-    at.write(ok("1000000.5"));
-    const std::string answer = client.message();
-    EXPECT_EQ(statusOf(answer), 429);
-    EXPECT_TRUE(has(answer, "Retry-After: 0.5")) << answer;
-    EXPECT_TRUE(has(at.message(), "?add=-2.5&"));  // the charge is taken back
-    EXPECT_FALSE(endpoint.waitReadable(0));
-}
-
-TEST_F(NetCounter, WhatARequestCostInTheEndIsSettled) {
-    client.write(request("load", "r1"));
-    Socket at = counter.accept();
-    EXPECT_TRUE(has(at.message(), "?add=1&"));
-    at.write(ok("1"));
-    // The closed slice is read too, over the same connection or, by its name, over another one.
-    pollfd either[2] = {{at.fd(), POLLIN, 0}, {counter.fd(), POLLIN, 0}};
-    ASSERT_GT(::poll(either, 2, kTestTimeoutMs), 0);
-    Socket other;
-    if (either[0].revents == 0) other = counter.accept();
-    Socket& read = either[0].revents == 0 ? other : at;
-    EXPECT_TRUE(has(read.message(), "?add=0&"));
-    read.write(ok("0"));
-    Socket served = endpoint.accept();
-    served.message();
-    served.write(ok("in", "X-Meter: 86\r\nX-Settled: 3\r\n"));
-    EXPECT_EQ(statusOf(client.message()), 200);
-    EXPECT_TRUE(has(at.message(), "?add=2&"));
-}
-
-TEST_F(NetCounter, ALateAnswerIsTakenOffTheLineAndNotForTheNextCall) {
-    client.write(request("load", "r1"));
-    Socket at = counter.accept();
-    at.message();
-    Socket link = endpoint.accept();  // the module waited no longer than its own time
-    serveAttempt(link);
-    // A request without a quota whose time runs out: the first call's time has run out before that.
-    std::string timed = request("load", "between", 100);
-    client.write(timed.replace(timed.find("team"), 4, "free"));
-    EXPECT_NE(statusOf(client.message()), 200);
-    link.message();
-    EXPECT_TRUE(link.atEnd());
-    // After a time-out some requests go unasked, by a draw: those are served until one asks.
-    for (int i = 2; i < 30; ++i) {
-        client.write(request("load", "r" + std::to_string(i)));
-        pollfd either[2] = {{at.fd(), POLLIN, 0}, {endpoint.fd(), POLLIN, 0}};
-        ASSERT_GT(::poll(either, 2, kTestTimeoutMs), 0);
-        if (either[0].revents != 0) break;
-        Socket unasked = endpoint.accept();
-        unasked.message();
-        unasked.write("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-        EXPECT_EQ(statusOf(client.message()), 200);
-    }
-    at.message();
-    // The first answer is late; the second says that the window is full. Mixed up, this one would be let in.
-    at.write(ok("1") + ok("1000000"));
-    EXPECT_EQ(statusOf(client.message()), 429);
-    EXPECT_FALSE(endpoint.waitReadable(0));
-}
-
-TEST_F(NetCounter, ABrokenConnectionEndsItsCallsAndTheNextCallDialsAnew) {
-    client.write(request("load", "r1"));
-    {
-        Socket at = counter.accept();
-        at.message();
-        at.reset();
-    }
-    Socket link = endpoint.accept();
-    serveAttempt(link);
-    client.write(request("load", "r2"));
-    Socket at = counter.accept();
-    EXPECT_TRUE(has(at.message(), "?add="));
-    at.write(
-        "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n");  // turned away: nothing was added, nobody waits
-    serveAttempt(link);
-}
-
-// Spoilt: the amount was added, the connection is of no further use; an interim answer is no answer.
-TEST_F(NetCounter, AnAnswerWithNoTotalEndsItsConnectionAndInterimOnesArePassedOver) {
-    for (const char* body : {"nan", "12x", "", "inf"}) {
-        client.write(request("load", std::string("r") + body));
-        Socket at = counter.accept();
-        at.message();
-        at.write(ok(body));
-        EXPECT_TRUE(at.atEnd()) << body;
-        Socket link = endpoint.accept();
-        link.message();
-        link.write("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-        EXPECT_EQ(statusOf(client.message()), 200);
-    }
-    client.write(request("load", "last"));
-    Socket at = counter.accept();
-    at.message();
-    at.write("HTTP/1.1 100 Continue\r\n\r\n" + ok("1000000"));
-    EXPECT_EQ(statusOf(client.message()), 429);
-}
-
-// A connection that falls silent takes what is added over it with it: it is left after a few time-outs.
-TEST(NetCounterClient, AConnectionThatFallsSilentIsGivenUpSoon) {
-    Server counter;
-    boost::asio::io_context io;
-    TimerQueue timers(io);
-    int told = 0;
-    CounterClient client(io, timers, parseAddress(counter.address(), "counter"),
-                         {1, std::chrono::milliseconds(5), std::chrono::seconds(5)},
-                         [&](gateway::CounterReplied&&) { ++told; });
-    const auto call = [&] {
-        client.add({"q1.1", 1, std::chrono::seconds(5)});
-        client.flush();
-    };
-    call();
-    io.restart();
-    while (told < 1) io.run_one();
-    Socket silent = counter.accept();
-    for (int calls = 2; calls <= 40 && !counter.waitReadable(0); ++calls) {
-        call();
-        while (told < calls) io.run_one();
-    }
-    EXPECT_TRUE(counter.waitReadable(0));
-}
-
-TEST_F(NetCounter, AClientThatLeavesBeforeTheSendIsForgottenWithItsId) {
-    client.write(request("load", "r1"));
-    Socket at = counter.accept();
-    at.message();
-    client.close();
-    EXPECT_TRUE(has(at.message(), "?add=-1&"));  // seen to have left: its charge goes back
-    client = gate.client();
-    client.write(request("load", "r1"));
-    Socket link = endpoint.accept();
-    serveAttempt(link);
-}
-
 // SIGHUP: what stands in the replaced file wins over EDGE_DISCOVERY; the new discovery is asked for its whole
 // list, as its versions may be others, and its changes come in order behind that.
-TEST(NetReload, GoesOverToTheNewDiscoveryWithItsWholeList) {
+TEST(Reload, GoesOverToTheNewDiscoveryWithItsWholeList) {
     Server a, b, next, third;
     Json s = settings();
     s["rules"]["drainGraceS"] = 600;  // the list alone keeps attempts away from a
-    GatewayProcess gate(Targets{target("a", a)}, s);
-    Socket old = gate.discovery.accept();
+    GatewayProcess gateway(Targets{target("a", a)}, s);
+    Socket old = gateway.discovery.accept();
     old.message();
-    gate.reload(R"({"discovery": "127.0.0.1:1", )");  // half written: those in use stay
-    gate.reload(next);
+    gateway.reload(R"({"discovery": "127.0.0.1:1", )");  // half written: those in use stay
+    gateway.reload(next);
     Socket watch = next.accept();
     EXPECT_TRUE(has(watch.message(), "GET /api/targets HTTP/1.1\r\n"));
     EXPECT_TRUE(old.atEnd());
     watch.write(ok(Json{{"index", 3}, {"snapshot", true}, {"endpoints", Targets{target("b", b)}}}.dump()));
     EXPECT_TRUE(has(watch.message(), "GET /api/targets?follow=1&since=3 "));
     for (int i = 0; i < 3; ++i) {
-        Socket client = gate.client();
+        Socket client = gateway.client();
         client.write(request("spend", "r" + std::to_string(i), 8000, "x"));
         Socket at = b.accept();
         at.message();
@@ -614,65 +318,28 @@
         EXPECT_EQ(statusOf(client.message()), 200);
     }
     EXPECT_FALSE(a.waitReadable(0));
-    gate.reload(third);  // it comes repeatedly
+    gateway.reload(third);  // it comes repeatedly
     EXPECT_TRUE(has(third.accept().message(), "GET /api/targets HTTP/1.1\r\n"));
 }
 
-// The module takes a name's answers in the order of its calls: none goes to the new counter while one is out
-// at the old, and none is made at both.
-TEST_F(NetCounter, AfterAReloadCallsOutAtTheOldOneEndBeforeTheNewOneHasAny) {
-    Json s = counted();
-    s["domain"]["counterTimeoutS"] = 20;
-    GatewayProcess slow{Targets{target("w", endpoint)}, s,
-                        [this](Json& c) { c["counter"] = counter.address(); }};
-    Socket first = slow.client(), second = slow.client();
-    first.write(request("load", "r1"));
-    Socket old = counter.accept();
-    EXPECT_TRUE(has(old.message(), "?add=1&"));
-    Server next, nextDiscovery;
-    slow.reload(nextDiscovery, &next);
-    nextDiscovery.accept().message();  // the reload is in force
-    second.write(request("load", "r2"));
-    std::vector<Socket> lanes;
-    for (int i = 0; i < 8; ++i) lanes.push_back(next.accept());
-    old.write(ok("5"));
-    Socket one = endpoint.accept();
-    one.message();
-    std::vector<pollfd> polls;
-    for (const Socket& lane : lanes) polls.push_back({lane.fd(), POLLIN, 0});
-    ASSERT_EQ(::poll(polls.data(), polls.size(), kTestTimeoutMs), 1);
-    for (std::size_t i = 0; i < lanes.size(); ++i) {
-        if (polls[i].revents == 0) continue;
-        EXPECT_TRUE(has(lanes[i].message(), "?add=1&"));
-        lanes[i].write(ok("6"));
-    }
-    Socket two = endpoint.accept();
-    two.message();
-    one.write(ok("one"));
-    two.write(ok("two"));
-    EXPECT_EQ(statusOf(first.message()), 200);
-    EXPECT_EQ(statusOf(second.message()), 200);
-    EXPECT_TRUE(old.atEnd());  // with no second call on it
-}
-
-TEST(NetShutdown, AnswersWhatIsTakenAndEndsWithNought) {
+TEST(Shutdown, AnswersWhatIsTakenAndEndsWithZero) {
     Server endpoint;
-    GatewayProcess gate(Targets{target("w", endpoint)});
-    Socket client = gate.client(), idle = gate.client();
+    GatewayProcess gateway(Targets{target("w", endpoint)});
+    Socket client = gateway.client(), idle = gateway.client();
     idle.write("GET /-/ready HTTP/1.1\r\n\r\n");
     EXPECT_EQ(statusOf(idle.message()), 200);
     client.write(request("load", "r1"));
     Socket at = endpoint.accept();
     at.message();
-    gate.terminate();
+    gateway.terminate();
     int status = 200;
     while (status == 200) {  // the signal is seen at some moment; then it tells that it is not ready
-        Socket polls = gate.client();
+        Socket polls = gateway.client();
         polls.write("GET /-/ready HTTP/1.1\r\n\r\n");
         status = statusOf(polls.message());
     }
     EXPECT_EQ(status, 503);
-    Socket late = gate.client();  // still listening
+    Socket late = gateway.client();  // still listening
     late.write(request("load", "r2"));
     Socket second = endpoint.accept();
     second.message();
@@ -685,78 +352,7 @@
         EXPECT_TRUE(has(answer, "Connection: close"));
         s->close();
     }
-    EXPECT_EQ(gate.wait(), 0);
-}
-
-TEST(NetLimits, IdleClientsGiveWayAtTheMostConnections) {
-    Server endpoint;
-    GatewayProcess gate(Targets{target("w", endpoint)}, settings(),
-                        [](Json& c) { c["limits"]["sockets"] = 64; });
-    std::list<Socket> clients;
-    for (int i = 0; i < 100; ++i) {
-        clients.push_back(gate.client());
-        clients.back().write("GET /-/ready HTTP/1.1\r\n\r\n");
-        EXPECT_EQ(statusOf(clients.back().message()), 200);
-    }
-    EXPECT_TRUE(clients.front().atEnd());
-}
-
-TEST(NetLimits, ARequestThatDoesNotComeWholeEndsItsConnection) {
-    Server endpoint;
-    GatewayProcess gate(Targets{target("w", endpoint)}, settings(),
-                        [](Json& c) { c["mostPartialMs"] = 100; });
-    Socket client = gate.client();
-    client.write("GET /load HTTP/1.1\r\nHost:");
-    EXPECT_EQ(statusOf(client.message()), 408);
-    EXPECT_TRUE(client.atEnd());
-}
-
-TEST(NetLimits, AConnectionThatSaysNothingIsEndedAndAUsedOneIsKept) {
-    Server endpoint;
-    GatewayProcess gate(Targets{target("w", endpoint)}, settings(),
-                        [](Json& c) { c["mostPartialMs"] = 300; });
-    Socket used = gate.client();
-    used.write("GET /-/ready HTTP/1.1\r\n\r\n");
-    EXPECT_EQ(statusOf(used.message()), 200);
-    Socket silent = gate.client();
-    EXPECT_TRUE(silent.atEnd());
-    used.write("GET /-/ready HTTP/1.1\r\n\r\n");
-    EXPECT_EQ(statusOf(used.message()), 200);
-}
-
-TEST(NetLimits, ServesOnAfterRunningOutOfDescriptors) {
-    Server endpoint;
-    GatewayProcess gate(Targets{target("w", endpoint)}, settings(), {}, 40);
-    std::list<Socket> clients;
-    for (int i = 0; i < 60; ++i) {  // more than the kernel will let it hold; those idle longest give way
-        clients.push_back(gate.client());
-        clients.back().write("GET /-/ready HTTP/1.1\r\n\r\n");
-        EXPECT_EQ(statusOf(clients.back().message()), 200);
-    }
-}
-
-TEST(NetConfig, WhatIsWrongIsNamed) {
-    const auto complaint = [](const std::string& text) -> std::string {
-        try {
-            readConfig(text);
-        } catch (const std::exception& e) {
-            return e.what();
-        }
-        return "";
-    };
-    Json config{
-        {"listen", "127.0.0.1:0"}, {"discovery", "127.0.0.1:1"}, {"seed", "1"}, {"settings", settings()}};
-    EXPECT_EQ(complaint(config.dump()), "");
-    EXPECT_TRUE(has(complaint("{"), "not JSON"));
-    Json bad = config;
-    bad["listen"] = "here";
-    EXPECT_TRUE(has(complaint(bad.dump()), "EDGE_LISTEN"));
-    bad = config;
-    bad["settings"].erase("classes");
-    EXPECT_TRUE(has(complaint(bad.dump()), "config.settings.classes"));
-    bad = config;
-    bad["settings"]["domain"]["mayCount"] = true;
-    EXPECT_TRUE(has(complaint(bad.dump()), "counter"));
+    EXPECT_EQ(gateway.wait(), 0);
 }
 
 }  // namespace
--- a/tests/support/gateway_process.h
+++ b/tests/support/gateway_process.h
@@ -67,7 +67,8 @@
                     {"settings", std::move(settingsOfDay)},
                     {"known", {{"index", 41}, {"snapshot", true}, {"endpoints", Json(std::move(known))}}}};
         if (change) change(config);
-        file_ = testing::TempDir() + "gateway-" + std::to_string(::getpid()) + "-" + std::to_string(made_++);
+        file_ =
+            testing::TempDir() + "gateway-" + std::to_string(::getpid()) + "-" + std::to_string(instances++);
         config_ = config;
         int ends[2];
         if (::pipe(ends) != 0) throw std::runtime_error("pipe");
@@ -154,7 +155,7 @@
     unsigned short port = 0;
 
 private:
-    inline static int made_ = 0;
+    inline static int instances = 0;
     pid_t pid_ = -1;
     std::string file_;
     Json config_;
