--- a/include/gateway/decision_engine.h
+++ b/include/gateway/decision_engine.h
@@ -18,6 +18,8 @@
     // random draws: two engines with the same settings, seed and events decide alike.
     DecisionEngine(Settings settings, std::uint64_t seed);
     ~DecisionEngine();
+    DecisionEngine(const DecisionEngine&) = delete;
+    DecisionEngine& operator=(const DecisionEngine&) = delete;
     DecisionEngine(DecisionEngine&&) noexcept;
     DecisionEngine& operator=(DecisionEngine&&) noexcept;
 
--- a/include/gateway/types.h
+++ b/include/gateway/types.h
@@ -2,7 +2,6 @@
 #pragma once
 
 #include <chrono>
-#include <compare>
 #include <cstdint>
 #include <functional>
 #include <string>
@@ -27,7 +26,7 @@
     const std::string& value() const { return value_; }
 
     friend bool operator==(const StringId&, const StringId&) = default;
-    friend auto operator<=>(const StringId&, const StringId&) = default;
+    friend bool operator<(const StringId& a, const StringId& b) { return a.value_ < b.value_; }
 
 private:
     std::string value_;
--- a/src/decision/decision_engine_impl.h
+++ b/src/decision/decision_engine_impl.h
@@ -30,6 +30,7 @@
     Impl(Settings settings, std::uint64_t seed);
     Impl(const Impl&) = delete;  // the parts refer to one another
     Impl& operator=(const Impl&) = delete;
+    ~Impl() = default;
 
     void handle(Time now, const Event& event, Actions& actions);
 
--- a/src/net/client/client_session.h
+++ b/src/net/client/client_session.h
@@ -24,6 +24,11 @@
     // What a session needs of the server that it belongs to.
     class Owner {
     public:
+        Owner() = default;
+        Owner(const Owner&) = delete;
+        Owner& operator=(const Owner&) = delete;
+        virtual ~Owner() = default;
+
         virtual const RequestRules& rules() const = 0;
         virtual bool isReady() const = 0;
         virtual bool isDraining() const = 0;
@@ -35,9 +40,6 @@
         virtual void onActive(ClientSession& session) = 0;
         // The session is over.
         virtual void onEnded(ClientSession& session) = 0;
-
-    protected:
-        ~Owner() = default;
     };
 
     // `owner`, `timers` and `clock` must outlive the session.
--- a/src/net/counter/counter_client.h
+++ b/src/net/counter/counter_client.h
@@ -57,10 +57,10 @@
     void onReply(const CounterConnection& connection, CounterReplied&& reply) override;
     void onBroken(const CounterConnection& connection, bool wasUp) override;
 
-    const ConnectionPtr& openConnection(std::size_t lane);
-    void connect(std::size_t lane);
-    void moveLane(std::size_t lane);
-    void retirePrevious(std::size_t lane, const ConnectionPtr& previous);
+    const ConnectionPtr& openConnection(std::size_t index);
+    void connect(std::size_t index);
+    void moveLane(std::size_t index);
+    void retirePrevious(std::size_t index, const ConnectionPtr& previous);
 
     boost::asio::io_context& io_;
     TimerQueue& timers_;
--- a/src/net/counter/counter_connection.h
+++ b/src/net/counter/counter_connection.h
@@ -21,6 +21,11 @@
     // What a connection needs of the client that it belongs to.
     class Owner {
     public:
+        Owner() = default;
+        Owner(const Owner&) = delete;
+        Owner& operator=(const Owner&) = delete;
+        virtual ~Owner() = default;
+
         // Calls may be written on this connection now.
         virtual bool mayWrite(const CounterConnection& connection) const = 0;
         // The connection is up.
@@ -29,9 +34,6 @@
         virtual void onReply(const CounterConnection& connection, CounterReplied&& reply) = 0;
         // The connection ended, before its calls are told of. `wasUp`: it had come up before.
         virtual void onBroken(const CounterConnection& connection, bool wasUp) = 0;
-
-    protected:
-        ~Owner() = default;
     };
 
     // `owner` and `timers` must outlive the connection's being open. `lane` is the owner's mark.
--- a/src/net/discovery/watch_stream.h
+++ b/src/net/discovery/watch_stream.h
@@ -18,6 +18,11 @@
     // What a stream needs of the client that it belongs to.
     class Owner {
     public:
+        Owner() = default;
+        Owner(const Owner&) = delete;
+        Owner& operator=(const Owner&) = delete;
+        virtual ~Owner() = default;
+
         // The version of the list that is known; changes after it are asked for.
         virtual std::uint64_t knownVersion() const = 0;
         virtual const tcp::endpoint& address() const = 0;
@@ -34,9 +39,6 @@
         // A document of discovery's. Throws where it can't be read, which ends the stream.
         virtual void onSnapshot(std::string_view text) = 0;
         virtual void onDelta(std::string_view text) = 0;
-
-    protected:
-        ~Owner() = default;
     };
 
     // `owner` and `timers` must outlive the stream's being open. `needsSnapshot`: no version is known.
--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -178,14 +178,13 @@
 void GatewayServer::onDisconnect(const RequestId& id) {
     const auto found = requests_.find(id);
     if (found == requests_.end() || !found->second.client) return;
-    const RequestId request = id;  // `id` may be the session's own
     found->second.client = nullptr;
     const std::vector<AttemptId> attempts = found->second.attempts;
-    dispatch(ClientDisconnected{request});
+    dispatch(ClientDisconnected{id});
     // What has not gone out yet never will, whatever may be cancelled: nobody waits for it.
     for (const AttemptId attempt : attempts) upstreams_.cancelUnsent(attempt);
     // With no attempt in flight nothing else would end it: its id would stay in use for ever.
-    forgetIfDone(request);
+    forgetIfDone(id);
 }
 
 void GatewayServer::onAttemptEnded(AttemptId id, AttemptResult&& result) {
--- a/src/net/upstream/upstream_connection.h
+++ b/src/net/upstream/upstream_connection.h
@@ -20,6 +20,11 @@
     // What a connection needs of the pool that it belongs to.
     class Owner {
     public:
+        Owner() = default;
+        Owner(const Owner&) = delete;
+        Owner& operator=(const Owner&) = delete;
+        virtual ~Owner() = default;
+
         virtual void onConnected(AttemptId attempt) = 0;
         // A whole response. `reusable`: the connection may carry another attempt, else it is closed.
         virtual void onResponse(AttemptId attempt, AttemptResult&& result, bool reusable) = 0;
@@ -27,9 +32,6 @@
         virtual void onBroken(const std::shared_ptr<UpstreamConnection>& connection) = 0;
         // Bytes came that nobody asked for.
         virtual void onUnexpectedInput(const std::shared_ptr<UpstreamConnection>& connection) = 0;
-
-    protected:
-        ~Owner() = default;
     };
 
     // `openConnections` is one higher while this lives. `owner` and `timers` must outlive the connection's
--- a/tests/ceiling_bucket_test.cpp
+++ b/tests/ceiling_bucket_test.cpp
@@ -41,6 +41,7 @@
     plan.ceilingSlack = 5;
     for (const int answering : {0, 1, 2, 4}) {  // gateways that the counter answers
         std::vector<EngineFixture> rigs;
+        rigs.reserve(kEntryPoints);
         for (int i = 0; i < kEntryPoints; ++i) rigs.emplace_back(s);
         std::map<std::string, double> counts;
         double store = plan.ceilingBurst, least = store, all = 0;
@@ -66,8 +67,8 @@
                 counts = fixture.counts;
             }
         }
-        EXPECT_GE(least, -plan.ceilingSlack) << answering << " gatekeepers answered";
-        EXPECT_GE(all, 0.25 * plan.rate * 40) << answering << " gatekeepers answered";
+        EXPECT_GE(least, -plan.ceilingSlack) << answering << " gateways answered";
+        EXPECT_GE(all, 0.25 * plan.rate * 40) << answering << " gateways answered";
     }
 }
 
--- a/tests/client_disconnect_test.cpp
+++ b/tests/client_disconnect_test.cpp
@@ -50,6 +50,7 @@
     Socket other = gateway.client();
     other.write(ofFree(request("spend", "other", 100'000, "x")));
     std::vector<pollfd> polls;
+    polls.reserve(links.size() + servers.size());
     for (Socket* link : links) polls.push_back({link->fd(), POLLIN, 0});
     for (Server* server : servers) polls.push_back({server->fd(), POLLIN, 0});
     ASSERT_GT(::poll(polls.data(), polls.size(), kTestTimeoutMs), 0) << note;
@@ -84,9 +85,7 @@
 
 class DisconnectWhileCounting : public testing::Test {
 protected:
-    DisconnectWhileCounting() { tenantId = customerOfAYoungSlice(); }
-    ~DisconnectWhileCounting() override { tenantId = defaults; }
-    const std::string defaults = tenantId;
+    const YoungSliceTenant youngSliceTenant;
 };
 
 TEST_F(DisconnectWhileCounting, WhoDisconnectsInWhateverMannerWhileItIsAskedIsNotSentOnAndItsChargeGoesBack) {
--- a/tests/counter_client_test.cpp
+++ b/tests/counter_client_test.cpp
@@ -13,10 +13,6 @@
 
 class CounterCalls : public testing::Test {
 protected:
-    CounterCalls() { tenantId = customerOfAYoungSlice(); }
-    ~CounterCalls() override { tenantId = defaults; }
-
-    const std::string defaults = tenantId;
     static Json counted() {
         Json s = settings();
         s["domain"] = {{"mayCount", true}, {"counterTimeoutS", 0.2}, {"maxUnits", 4}};
@@ -32,6 +28,7 @@
         at.write(ok("in"));
         EXPECT_EQ(statusOf(client.message()), 200);
     }
+    const YoungSliceTenant youngSliceTenant;
 };
 
 TEST_F(CounterCalls, ACallIsMadeBeforeTheSendAndItsTotalDecides) {
@@ -188,11 +185,13 @@
     nextDiscovery.accept().message();  // the reload is in force
     second.write(request("load", "r2"));
     std::vector<Socket> lanes;
+    lanes.reserve(8);
     for (int i = 0; i < 8; ++i) lanes.push_back(next.accept());
     old.write(ok("5"));
     Socket one = endpoint.accept();
     one.message();
     std::vector<pollfd> polls;
+    polls.reserve(lanes.size());
     for (const Socket& lane : lanes) polls.push_back({lane.fd(), POLLIN, 0});
     ASSERT_EQ(::poll(polls.data(), polls.size(), kTestTimeoutMs), 1);
     for (std::size_t i = 0; i < lanes.size(); ++i) {
--- a/tests/counter_sampler_test.cpp
+++ b/tests/counter_sampler_test.cpp
@@ -160,7 +160,7 @@
         // Now and then calls time out: the counter is crowded.
         fixture.counting = i < 20 || i % 10 > 1;
         const int before = fixture.adds;
-        fixture.request(1, static_cast<std::uint64_t>(5 + which), milliseconds(2500), 75);
+        fixture.request(1, 5 + static_cast<std::uint64_t>(which), milliseconds(2500), 75);
         if (i >= 20) adds[which] += fixture.adds > before;
         fixture.failHeldAdds(Outcome::timedOut);
         AttemptEnded e;
--- a/tests/decision_engine_test.cpp
+++ b/tests/decision_engine_test.cpp
@@ -165,7 +165,7 @@
                 EXPECT_LE(sent, (16 + 4 * 20) /
                                     (counterEnabled ? 1 : std::max(1.0, static_cast<double>(entryPoints))));
                 if (entryPoints < 2) {
-                    EXPECT_GE(sent, 20) << gatewayCount << " gatekeepers";
+                    EXPECT_GE(sent, 20) << gatewayCount << " gateways";
                 }
             }
 }
--- a/tests/descriptor_limit_test.cpp
+++ b/tests/descriptor_limit_test.cpp
@@ -26,9 +26,6 @@
 
 class DescriptorLimits : public testing::TestWithParam<Descriptors> {
 protected:
-    DescriptorLimits() { tenantId = customerOfAYoungSlice(); }
-    ~DescriptorLimits() override { tenantId = defaults; }
-
     static Json settingsOf(const std::string& discovery) {
         Json s = settings();
         s["discovery"] = discovery;
@@ -46,7 +43,6 @@
         for (int i = 0; i < 200; ++i) resting.push_back(gateway.client());
     }
 
-    const std::string defaults = tenantId;
     Server endpoint, counter, discovery{Server::kRefusing};
     GatewayProcess gateway{Targets{target("w", endpoint)}, settingsOf(GetParam().discovery),
                            [this](Json& c) {
@@ -57,6 +53,7 @@
                            },
                            GetParam().limit};
     std::list<Socket> resting;
+    const YoungSliceTenant youngSliceTenant;
 };
 
 INSTANTIATE_TEST_SUITE_P(Limits, DescriptorLimits,
--- a/tests/endpoint_set_test.cpp
+++ b/tests/endpoint_set_test.cpp
@@ -122,16 +122,16 @@
     change.entries = {EngineFixture::entry("w3", 1)};
     change.entries[0].startedAt = fixture.now;
     fixture.feed(change);
-    int cold = 0;
+    int warming = 0;
     for (std::uint64_t c = 0; c < 40; ++c) {
         fixture.request(1, c);
-        cold += fixture.sends.back().endpoint.value() == "w3";
+        warming += fixture.sends.back().endpoint.value() == "w3";
         if (fixture.sends.size() > 8)
             fixture.end(fixture.sends[fixture.sends.size() - 9], 0, Outcome::ok, true);
         fixture.advance(milliseconds(20));
     }
-    EXPECT_GE(cold, 1);
-    EXPECT_LE(cold, 6);
+    EXPECT_GE(warming, 1);
+    EXPECT_LE(warming, 6);
 }
 
 TEST(EndpointSet, ManyGatewaysStartWithShortQueues) {
@@ -160,7 +160,7 @@
     Settings s = plainSettings();
     EngineFixture fixture(s, 4);
     for (int i = 0; i < 200; ++i) {
-        fixture.request(1, static_cast<std::uint64_t>(100 + i));
+        fixture.request(1, 100 + static_cast<std::uint64_t>(i));
         AttemptEnded e;
         e.request = fixture.sends.back().request;
         e.endpoint = fixture.sends.back().endpoint;
--- a/tests/event_race_test.cpp
+++ b/tests/event_race_test.cpp
@@ -136,10 +136,6 @@
 // A counter that is asked and holds its answer; who leaves meanwhile is not sent on.
 class CounterRaces : public testing::Test {
 protected:
-    CounterRaces() { tenantId = customerOfAYoungSlice(); }
-    ~CounterRaces() override { tenantId = defaults; }
-
-    const std::string defaults = tenantId;
     static Json counted() {
         Json s = settings();
         s["domain"] = {{"mayCount", true}, {"counterTimeoutS", 20}, {"maxUnits", 4}};
@@ -149,6 +145,7 @@
     Server endpoint, counter;
     GatewayProcess gateway{Targets{target("w", endpoint)}, counted(),
                            [this](Json& c) { c["counter"] = counter.address(); }};
+    const YoungSliceTenant youngSliceTenant;
 };
 
 TEST_F(CounterRaces, OneThatPipelinedMuchAndLeftIsSeenToHaveLeftAndNotSentOn) {
@@ -182,21 +179,22 @@
         Json s = counted();
         s["allowed"]["cancel"] = cancellationAllowed;
         Server count;
-        GatewayProcess dialling(Targets{target("w", full)}, s,
-                                [&](Json& c) { c["counter"] = count.address(); });
-        Socket client = dialling.client();
+        GatewayProcess connecting(Targets{target("w", full)}, s,
+                                  [&](Json& c) { c["counter"] = count.address(); });
+        Socket client = connecting.client();
         client.write(request("spend", "r1", 100'000, "x"));
         Socket at = count.accept();
         EXPECT_TRUE(has(at.message(), "?add=1&"));
         at.write(ok("2"));
-        Socket probe = dialling.client();  // answered in order: the request before is being connected by then
+        Socket probe =
+            connecting.client();  // answered in order: the request before is being connected by then
         probe.write("GET /-/ready HTTP/1.1\r\n\r\n");
         probe.message();
         client.close();
         EXPECT_TRUE(has(at.message(), "?add=-1&"));
         full.accept();
         at.write(ok("1"));
-        Socket other = dialling.client();
+        Socket other = connecting.client();
         std::string free = request("spend", "r2", 100'000, "x");
         other.write(free.replace(free.find("team"), 4, "free"));
         Socket link = full.accept();
--- a/tests/simulator_wire_test.cpp
+++ b/tests/simulator_wire_test.cpp
@@ -9,13 +9,14 @@
 namespace {
 
 const char* kEnlist =
-    R"({"enlist":{"gatekeeper":3,"randomSeed":9,"info":{"allowed":{"cancel":true,"maxAttempts":4,"retryAfter":true,)"
+    R"({"enlist":{"gatekeeper":3,"randomSeed":9,"info":{"allowed":{"cancel":true,"maxAttempts":4,)"
+    R"("retryAfter":true,)"
     R"("maxRetryAfterS":0.5,"whatever":1},"balancers":2,"me":1,"classes":[{"aimS":0.6,"deadlineS":2.5,)"
     R"("effect":"safe","group":"all","name":"get"}],"contracts":[{"perSecond":2.0,"depth":8.0}],)"
     R"("domain":{"mayCount":true,"counterTimeoutS":0.03,"maxUnits":2},"rules":{"coldFrom":0.25},)"
     R"("report":{"fields":["rif"],"how":"inline"},"novelty":{"x":1}}}})";
-const char* kList =
-    R"({"membership":{"gatekeeper":3,"scope":"SAVED","rev":4,"items":[{"availability":"IN","worker":"w1"}]}})";
+const char* kList = R"({"membership":{"gatekeeper":3,"scope":"SAVED","rev":4,)"
+                    R"("items":[{"availability":"IN","worker":"w1"}]}})";
 
 std::string batch(const std::string& lines, double now = 8.0) {
     return "{\"tick\":{\"momentS\":" + std::to_string(now) + "}}\n" + lines + "{\"eofBatch\":{}}\n";
@@ -44,13 +45,12 @@
 }
 
 TEST(Wire, ARequestGoesRound) {
-    const std::string out = run(
-        kStart +
-        batch(
-            R"({"knock":{"gatekeeper":3,"corr":"a-b","priority":0,"contract":0,"account":77,"notAfterS":10.5,)"
-            R"("units":2,"entryPoints":2,"firstDoor":1,"neverHeardOf":5}})"
-            "\n",
-            8.1));
+    const std::string out =
+        run(kStart + batch(R"({"knock":{"gatekeeper":3,"corr":"a-b","priority":0,"contract":0,"account":77,)"
+                           R"("notAfterS":10.5,)"
+                           R"("units":2,"entryPoints":2,"firstDoor":1,"neverHeardOf":5}})"
+                           "\n",
+                           8.1));
     std::istringstream lines(out);
     std::string line, name;
     bool sawAdd = false;
--- a/tests/slow_start_fleet_test.cpp
+++ b/tests/slow_start_fleet_test.cpp
@@ -14,7 +14,7 @@
     for (int seed = 1; seed <= sc.seeds; ++seed) sum.add(StandIn(sc, static_cast<std::uint64_t>(seed)).run());
     std::printf(
         "%-26s windows %7ld over %.5f (by begin %.5f) fullest %.2f N, %.2f of bound (%.2f) "
-        "cold took %.3f of capacity, served %.4f\n",
+        "warming took %.3f of capacity, served %.4f\n",
         sc.name, sum.windows, static_cast<double>(sum.over) / static_cast<double>(sum.windows),
         static_cast<double>(sum.overByBegin) / static_cast<double>(sum.windows), sum.fullest,
         sum.fullestOfBound, sum.fullestByBegin, sum.taken / sum.couldDo,
@@ -55,7 +55,7 @@
      .seeds = 3},
     {.name = "Thin300Over", .gatewayCount = 300, .servers = 12, .cores = 2, .meanWork = 0.08, .load = 1.5,
      .seeds = 3},
-    // Few are cold.
+    // Few are warming.
     {.name = "Few30Thin", .gatewayCount = 30, .servers = 12, .cores = 1, .meanWork = 0.4, .load = 0.9,
      .replaced = 0.1, .drained = 0.17, .seeds = 16},
     {.name = "Few300Thin", .gatewayCount = 300, .servers = 12, .cores = 2, .meanWork = 0.08, .load = 0.8,
@@ -66,7 +66,7 @@
      .replaced = 0.1, .seeds = 1},
     {.name = "Large300Thin", .gatewayCount = 300, .servers = 6, .cores = 4, .meanWork = 0.08, .load = 0.8,
      .replaced = 0.34, .drained = 0.17, .seeds = 3},
-    // All but a few are cold, or all.
+    // All but a few are warming, or all.
     {.name = "Most20Thin", .gatewayCount = 20, .servers = 12, .cores = 1, .meanWork = 0.5, .load = 0.66,
      .replaced = 0.84, .drained = 0.08, .restarted = 0.25, .seeds = 12},
     {.name = "Most30", .gatewayCount = 30, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 0.8,
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -10,11 +10,11 @@
 namespace gateway {
 namespace {
 
-// How many of 2,000 gateways, that hear of each endpoint very seldom, send the twelfth request to a cold
+// How many of 2,000 gateways, that hear of each endpoint very seldom, send the twelfth request to a warming
 // one, 36 of the 60, where warm ones answered the three before in `took` and all earlier ones quickly.
 int sentToWarmingUp(Duration took) {
     int sent = 0;
-    constexpr int kKeepers = 2000, kCold = 36, kRequests = 12;
+    constexpr int kKeepers = 2000, kWarming = 36, kRequests = 12;
     for (int k = 0; k < kKeepers; ++k) {
         Settings s = plainSettings();
         s.gatewayCount = kKeepers;
@@ -24,8 +24,9 @@
         EndpointUpdate list;
         list.kind = UpdateKind::cached;
         for (int i = 0; i < 60; ++i) {
-            list.entries.push_back(EngineFixture::entry((i < kCold ? "cold" : "warm") + std::to_string(i)));
-            if (i < kCold) list.entries.back().startedAt = milliseconds(100'000);
+            list.entries.push_back(
+                EngineFixture::entry((i < kWarming ? "cold" : "warm") + std::to_string(i)));
+            if (i < kWarming) list.entries.back().startedAt = milliseconds(100'000);
         }
         Actions out;
         Time now = milliseconds(60'000);
@@ -39,12 +40,12 @@
             engine.handle(now, r, out);
             const SendAttempt* send = std::get_if<SendAttempt>(&out.back());
             if (send == nullptr) continue;  // the limit on attempts out falls with slow answers
-            const bool cold = send->endpoint.value().starts_with("cold");
-            if (i == kRequests - 1) sent += cold;
+            const bool warming = send->endpoint.value().starts_with("cold");
+            if (i == kRequests - 1) sent += warming;
             AttemptEnded answer;
             answer.request = r.request;
             answer.endpoint = send->endpoint;
-            answer.elapsed = cold || i < kRequests - 4 ? milliseconds(100) : took;
+            answer.elapsed = warming || i < kRequests - 4 ? milliseconds(100) : took;
             answer.closed = true;
             engine.handle(now + answer.elapsed, answer, out);
         }
@@ -54,7 +55,7 @@
 
 TEST(SlowStart, AWarmingEndpointsPartHoldsSummedOverManyGateways) {
     int sent = 0;
-    for (int k = 0; k < 200; ++k) {  // 200 gateways meet one cold endpoint, one request each
+    for (int k = 0; k < 200; ++k) {  // 200 gateways meet one warming endpoint, one request each
         Settings s = plainSettings();
         s.gatewayCount = 200;
         s.gatewayIndex = k;
@@ -63,7 +64,7 @@
         list.kind = UpdateKind::cached;
         for (int i = 0; i < 40; ++i) list.entries.push_back(EngineFixture::entry("w" + std::to_string(i)));
         list.entries[0].startedAt = milliseconds(100'000);
-        list.entries[0].weight = 8;  // a large one, so that it looks idlest even when cold
+        list.entries[0].weight = 8;  // a large one, so that it looks idlest even when warming
         Actions out;
         engine.handle(milliseconds(100'000), list, out);
         RequestArrived r;
@@ -78,19 +79,19 @@
         for (const Action& action : out)
             if (const auto* send = std::get_if<SendAttempt>(&action)) sent += send->endpoint.value() == "w0";
     }
-    EXPECT_LE(sent, 20);  // its part by weight and warmth is about 9 of the 200
+    EXPECT_LE(sent, 20);  // its part by weight and capacity share is about 9 of the 200
 }
 
-// A cold endpoint is no busier than warm ones while those have room: what it was sent beyond that would
+// A warming endpoint is no busier than warm ones while those have room: what it was sent beyond that would
 // queue.
 TEST(SlowStart, WhileWarmOnesAnswerQuicklyItTakesNoMoreThanItsCapacity) {
     const int sent = sentToWarmingUp(milliseconds(100));
-    EXPECT_GE(sent, 2000 * 11 / 100);  // by warmth 0.25 x 36 / 60, so 15 in 100
+    EXPECT_GE(sent, 2000 * 11 / 100);  // by capacity 0.25 x 36 / 60, so 15 in 100
     EXPECT_LE(sent, 2000 * 18 / 100);
 }
 
-// While most of a fleet is new, what the cold ones leave untouched falls on the few warm ones, by all
-// gateways at once: where those get slow, the cold ones take a good part of what the multiple allows.
+// While most of a fleet is new, what the warming ones leave untouched falls on the few warm ones, by all
+// gateways at once: where those get slow, the warming ones take a good part of what the multiple allows.
 TEST(SlowStart, WhileMostOfTheFleetIsWarmingAndTheRestIsSlowItTakesMoreThanItsCapacity) {
     const int sent = sentToWarmingUp(plainSettings().classes[0].latencyObjective * 9 / 10);
     EXPECT_GE(sent, 2000 * 22 / 100);
--- a/tests/support/gateway_process.h
+++ b/tests/support/gateway_process.h
@@ -20,11 +20,13 @@
 
 inline Json settings() {
     return Json::parse(R"({
-      "allowed": {"cancel": true, "dialTimeoutS": 5, "keepaliveS": 60, "maxAttempts": 4, "maxRetryAfterS": 0.5,
+      "allowed": {"cancel": true, "dialTimeoutS": 5, "keepaliveS": 60, "maxAttempts": 4,
+                  "maxRetryAfterS": 0.5,
                   "probes": true, "retryAfter": true},
       "balancers": 3, "me": 0, "locality": 0, "discovery": "push",
       "classes": [{"aimS": 9, "deadlineS": 9, "effect": "safe", "name": "load"},
-                  {"aimS": 9, "deadlineS": 9, "effect": "keyed", "group": "cell", "windowS": 30, "name": "change"},
+                  {"aimS": 9, "deadlineS": 9, "effect": "keyed", "group": "cell", "windowS": 30,
+                   "name": "change"},
                   {"aimS": 9, "deadlineS": 9, "effect": "unsafe", "name": "spend"}],
       "contracts": [{"name": "team", "perSecond": 0.01, "depth": 40}, {"name": "free"}],
       "domain": {"mayCount": false, "maxUnits": 4},
@@ -167,7 +169,7 @@
 // A tenant whose slice on the counter began within the last second. Team's slices are 20 s long, shifted by
 // the tenant's number; a test in which the slice changes sees names and connections that it does not
 // expect.
-inline std::string customerOfAYoungSlice() {
+inline std::string tenantOfAYoungSlice() {
     constexpr std::uint64_t kSliceUs = 20'000'000, kShifts = 1024;
     const auto now = std::chrono::duration_cast<std::chrono::microseconds>(
         std::chrono::system_clock::now().time_since_epoch());
@@ -181,6 +183,18 @@
     }
 }
 
+// While it lives, requests come from a tenant of a young slice.
+class YoungSliceTenant {
+public:
+    YoungSliceTenant() : previous_(std::exchange(tenantId, tenantOfAYoungSlice())) {}
+    YoungSliceTenant(const YoungSliceTenant&) = delete;
+    YoungSliceTenant& operator=(const YoungSliceTenant&) = delete;
+    ~YoungSliceTenant() { tenantId = previous_; }
+
+private:
+    std::string previous_;
+};
+
 inline std::string request(const std::string& cls, const std::string& id, int timeoutMs = 8000,
                            const std::string& body = "",
                            const std::string& metering = "units=1,spread=1,first=0") {
--- a/tests/support/loopback_peers.h
+++ b/tests/support/loopback_peers.h
@@ -21,6 +21,8 @@
 class Socket {
 public:
     explicit Socket(int fd = -1) : fd_(fd) {}
+    Socket(const Socket&) = delete;
+    Socket& operator=(const Socket&) = delete;
     Socket(Socket&& other) noexcept
         : fd_(std::exchange(other.fd_, -1)), input_(std::exchange(other.input_, {})) {}
     Socket& operator=(Socket&& other) noexcept {
@@ -91,7 +93,7 @@
         return input_.empty() && !readSome();
     }
 
-protected:
+private:
     int fd_;
     std::string input_;
 };
@@ -105,20 +107,20 @@
         sockaddr_in a{};
         a.sin_family = AF_INET;
         a.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-        if (::bind(fd_, reinterpret_cast<sockaddr*>(&a), sizeof a) != 0)
+        if (::bind(fd(), reinterpret_cast<sockaddr*>(&a), sizeof a) != 0)
             throw std::runtime_error("cannot bind");
         if (backlog != kRefusing) listen(backlog);
         socklen_t size = sizeof a;
-        ::getsockname(fd_, reinterpret_cast<sockaddr*>(&a), &size);
+        ::getsockname(fd(), reinterpret_cast<sockaddr*>(&a), &size);
         port = ntohs(a.sin_port);
     }
     void listen(int backlog = 64) {
-        if (::listen(fd_, backlog) != 0) throw std::runtime_error("cannot listen");
+        if (::listen(fd(), backlog) != 0) throw std::runtime_error("cannot listen");
     }
     std::string address() const { return "127.0.0.1:" + std::to_string(port); }
     Socket accept() {
         if (!waitReadable()) throw std::runtime_error("nobody connected");
-        return Socket(::accept(fd_, nullptr, nullptr));
+        return Socket(::accept(fd(), nullptr, nullptr));
     }
     unsigned short port = 0;
 };
--- a/tests/support/slow_start_fleet.h
+++ b/tests/support/slow_start_fleet.h
@@ -70,8 +70,8 @@
 struct Tally {
     long windows = 0, over = 0, overByBegin = 0;
     double fullest = 0, fullestOfBound = 0, fullestByBegin = 0;  // in N, in the bound, in the bound by begin
-    double taken = 0, couldDo = 0;                               // by cold servers while cold, mean requests
-    long polled = 0, served = 0;                                 // from the first replacement on
+    double taken = 0, couldDo = 0;  // by warming servers while warming, mean requests
+    long polled = 0, served = 0;    // from the first replacement on
     void add(const Tally& t) {
         windows += t.windows;
         over += t.over;
@@ -238,7 +238,7 @@
         }
     }
 
-    // ---- Gatekeepers ----
+    // ---- Gateways ----
 
     void boot(int k) {
         Keeper& engine = keepers_[static_cast<std::size_t>(k)];
@@ -310,7 +310,7 @@
             at(now_ + milliseconds(1), [this, job] { end(job, Outcome::connectFailed); });
         } else if (s.busy < sc_.cores) {
             work(job);
-        } else if (s.waiting.size() < static_cast<std::size_t>(8 * sc_.cores)) {
+        } else if (s.waiting.size() < 8 * static_cast<std::size_t>(sc_.cores)) {
             s.waiting.push_back(job);
         } else {
             at(now_ + milliseconds(1), [this, job] { end(job, Outcome::rejected); });
@@ -354,7 +354,7 @@
         feed(j.engine, e);
     }
 
-    // A window ends at each attempt that is sent to a cold server.
+    // A window ends at each attempt that is sent to a warming server.
     void count(Server& s, double work) {
         const double share = shareAt(s, now_);
         if (share >= 1) return;
