--- a/src/decision/decision_engine_impl.cpp
+++ b/src/decision/decision_engine_impl.cpp
@@ -36,7 +36,8 @@
       slowStart_(settings_, endpointStats_),
       limiter_(settings_),
       endpoints_(settings_, slowStart_, limiter_),
-      picker_(settings_, endpoints_, endpointStats_, slowStart_) {}
+      picker_(settings_, endpoints_, endpointStats_, slowStart_),
+      retries_(settings_, latency_) {}
 
 void DecisionEngine::Impl::handle(Time now, const Event& event, Actions& actions) {
     if (!startedAt_) {
@@ -119,14 +120,12 @@
         return answerUnserved(context, request, expectedTime(request));
     }
     Endpoint& endpoint = endpoints_.at(*slot);
-    if (request.attempts.empty()) retryBudget_.onFirstAttempt();
+    if (request.attempts.empty()) retries_.onFirstAttempt();
     request.attempts.push_back({*slot, context.now, false});
     limiter_.begin(endpoint);
     if (Tenant* tenant = tenants_.find(request.arrival.tenant)) ++tenant->inFlight;
     SlowStart::spend(endpoint, work);
-    Duration beginWithin{};
-    if (request.possibleRun && classOf(request).idempotency == Idempotency::withKey)
-        beginWithin = request.possibleRun->since + classOf(request).idempotencyWindow - context.now;
+    const Duration beginWithin = retries_.beginWithin(request, context.now);
     context.act(SendAttempt{request.arrival.request, endpoint.entry.endpoint, left, beginWithin});
 }
 
@@ -148,10 +147,7 @@
     noteRun(*request, ended, attempt, endpoint);
     settleCost(context, *request, ended, tenant);
     if (ended.closed) request->closed = true;
-    if (!request->closed && mayRetry(*request, context.now)) {
-        retryBudget_.spend();
-        return sendAttempt(context, *request);
-    }
+    if (!request->closed && retries_.takeRetry(*request, context.now)) return sendAttempt(context, *request);
     if (!request->reachedEndpoint && !request->hasAttemptInFlight()) ledger_.refundUnsent(context, *request);
     if (request->closed) return requests_.eraseIfDone(*request);
     answerUnserved(context, *request, expectedTime(*request));
@@ -189,22 +185,10 @@
     if (ended.trueCost) ledger_.reconcile(context, *tenant, request, *ended.trueCost - request.arrival.cost);
 }
 
-bool DecisionEngine::Impl::mayRetry(const Request& request, Time now) const {
-    const int attempts = static_cast<int>(request.attempts.size());
-    if (attempts >= settings_.maxAttempts || !retryBudget_.allowsRetry()) return false;
-    if (request.hasAttemptInFlight()) return false;
-    const double expected = latency_.expectedSeconds(request.arrival.requestClass);
-    if (toSeconds(latency_.timeLeft(request, now)) < expected) return false;
-    const RequestClass& terms = classOf(request);
-    if (!request.possibleRun || terms.idempotency == Idempotency::safe) return true;
-    return terms.idempotency == Idempotency::withKey &&
-           now < request.possibleRun->since + terms.idempotencyWindow;
-}
-
 // ---- Final answers --------------------------------------------------------------------------------
 
 void DecisionEngine::Impl::answerUnserved(EventContext& context, Request& request, Duration retryAfter) {
-    if (isRetryHarmless(request, context.now)) {
+    if (retries_.isRepeatHarmless(request, context.now)) {
         const Duration advice =
             settings_.retryAfterAllowed ? std::min(retryAfter, settings_.maxRetryAfter) : Duration{};
         context.act(RejectRequest{request.arrival.request, advice});
@@ -216,14 +200,6 @@
     requests_.eraseIfDone(request);
 }
 
-bool DecisionEngine::Impl::isRetryHarmless(const Request& request, Time now) const {
-    const RequestClass& terms = classOf(request);
-    if (terms.idempotency == Idempotency::safe) return true;
-    if (!request.possibleRun) return !request.hasAttemptInFlight();
-    return terms.idempotency == Idempotency::withKey && terms.deduplicationScope == DeduplicationScope::all &&
-           now < request.possibleRun->since + terms.idempotencyWindow;
-}
-
 void DecisionEngine::Impl::on(EventContext& context, const ClientDisconnected& disconnected) {
     Request* request = requests_.find(disconnected.request);
     if (request == nullptr) return;
@@ -266,10 +242,6 @@
     return fromSeconds(latency_.expectedSeconds(request.arrival.requestClass));
 }
 
-const RequestClass& DecisionEngine::Impl::classOf(const Request& request) const {
-    return settings_.classes[static_cast<std::size_t>(request.arrival.requestClass)];
-}
-
 const QuotaPlan* DecisionEngine::Impl::planOf(const Request& request) const {
     if (settings_.plans.empty()) return nullptr;
     return &settings_.plans[static_cast<std::size_t>(request.arrival.plan)];
--- a/src/decision/decision_engine_impl.h
+++ b/src/decision/decision_engine_impl.h
@@ -16,7 +16,7 @@
 #include "decision/quota_window.h"
 #include "decision/random_source.h"
 #include "decision/request_table.h"
-#include "decision/retry_budget.h"
+#include "decision/retry_policy.h"
 #include "decision/slow_start.h"
 #include "decision/tenant_table.h"
 #include "decision/timer_table.h"
@@ -56,12 +56,9 @@
     void noteRun(Request& request, const AttemptEnded& ended, const Attempt& attempt,
                  const Endpoint& endpoint);
     void settleCost(EventContext& context, Request& request, const AttemptEnded& ended, Tenant* tenant);
-    bool mayRetry(const Request& request, Time now) const;
     void answerUnserved(EventContext& context, Request& request, Duration retryAfter);
 
-    bool isRetryHarmless(const Request& request, Time now) const;
     Duration expectedTime(const Request& request) const;
-    const RequestClass& classOf(const Request& request) const;
     const QuotaPlan* planOf(const Request& request) const;
 
     Settings settings_;
@@ -85,7 +82,7 @@
     ConcurrencyLimiter limiter_;
     EndpointSet endpoints_;
     EndpointPicker picker_;
-    RetryBudget retryBudget_;
+    RetryPolicy retries_;
 };
 
 }  // namespace gateway
