--- a/include/gateway/types.h
+++ b/include/gateway/types.h
@@ -39,9 +39,11 @@
 
 }  // namespace gateway
 
+// Not noexcept: libstdc++ then keeps the hash with each entry of a map, as for strings, and does not compute
+// it anew for every entry that a look-up passes.
 template <class Tag>
 struct std::hash<gateway::StringId<Tag>> {
-    std::size_t operator()(const gateway::StringId<Tag>& id) const noexcept {
+    std::size_t operator()(const gateway::StringId<Tag>& id) const {
         return std::hash<std::string>{}(id.value());
     }
 };
--- a/src/decision/counter_ledger.cpp
+++ b/src/decision/counter_ledger.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr double kFlushDelay = 0.1;  // of a slice, before pending cost goes out without a next add
-constexpr double kMinLostBurst =
-    0.5;  // of a burst: with reconciliation, a sum's shortage from there is a loss
-constexpr double kMinLostCost = 0.5;    // the same without
+// From where a sum's shortage is a loss: of a burst, with reconciliation; in cost, without.
+constexpr double kMinLostBurst = 0.5;
+constexpr double kMinLostCost = 0.5;
 constexpr double kDebtReadUse = 0.5;    // quota use from which a closed slice is read of a crowded counter
 constexpr double kOpeningMargin = 0.5;  // cost by which the sum of the add that opens a slice may differ
 constexpr int kNameLifeSlices = 3;      // for which the counter keeps a slice's name
--- a/src/decision/endpoint.h
+++ b/src/decision/endpoint.h
@@ -36,8 +36,9 @@
     EndpointEntry entry;
     bool usable = false;  // listed and not draining
     int inFlight = 0;     // own attempts
-    double subsetShare =
-        1;  // of the warm or warming endpoints that this gateway's subset holds; 0: not this one
+    // Of the warm endpoints, or of those that are warming up, the share that this gateway's subset holds; 0:
+    // the subset does not hold this one.
+    double subsetShare = 1;
     EndpointLoad load;
     EndpointHealth health;
     EndpointLimit limit;
--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -8,11 +8,10 @@
 namespace gateway {
 namespace {
 
-constexpr double kSlowShareSmoothing = 0.05;  // weight of a new response in the share of slow ones
-constexpr double kOverloadMargin = 0.9;       // share of the overload multiple that is used
-constexpr double kSparseTrafficReserve =
-    1.25;                                // with sparse traffic that share is less by this factor at least
-constexpr double kMaxTokens = 1.5;       // attempts that each gateway may save up for an endpoint
+constexpr double kSlowShareSmoothing = 0.05;    // weight of a new response in the share of slow ones
+constexpr double kOverloadMargin = 0.9;         // share of the overload multiple that is used
+constexpr double kSparseTrafficReserve = 1.25;  // with sparse traffic that share is less by this factor
+constexpr double kMaxTokens = 1.5;              // attempts that each gateway may save up for an endpoint
 constexpr double kUnservedCredit = 0.5;  // what a request counts that finds no endpoint, as if it were served
 constexpr int kUnservedWindowPart = 8;   // of the overload window without a success, from which that counts
 constexpr double kMinCapacity = 1e-9;    // against division by zero
--- a/src/decision/tenant.h
+++ b/src/decision/tenant.h
@@ -10,13 +10,12 @@
 
 // What is known of a tenant's use of its quota.
 struct TenantUsage {
-    double ownSeen = 0;    // cost admitted here in closed slices, fading
-    double totalSeen = 0;  // the same over all gateways
-    double demand = 0;     // cost a second that is asked for here
-    Time demandAt{};       // when that was last updated
-    Time totalAt{};        // when the counter last told a sum
-    double meteredUse =
-        1;  // share of its quota, over all gateways, by the meter and the counter's rejections
+    double ownSeen = 0;     // cost admitted here in closed slices, fading
+    double totalSeen = 0;   // the same over all gateways
+    double demand = 0;      // cost a second that is asked for here
+    Time demandAt{};        // when that was last updated
+    Time totalAt{};         // when the counter last told a sum
+    double meteredUse = 1;  // share of its quota in all, by the meter and the counter's rejections
 };
 
 // A gateway's part of what a plan's ceiling allows beyond the quota, as a token bucket.
