--- a/tests/event_race_test.cpp
+++ b/tests/event_race_test.cpp
@@ -34,14 +34,7 @@
     watch.close();
     Socket next = gateway.discovery.accept();
     EXPECT_TRUE(has(next.message(), "since=45 "));  // all three were taken
-    for (int i = 0; i < 3; ++i) {
-        Socket client = gateway.client();
-        client.write(request("spend", "r" + std::to_string(i), 8000, "x"));
-        Socket at = b.accept();
-        at.message();
-        at.write("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-        EXPECT_EQ(statusOf(client.message()), 200);
-    }
+    expectServedBy(gateway, b, 3);
     EXPECT_FALSE(a.waitReadable(0));
 }
 
--- a/tests/gateway_server_test.cpp
+++ b/tests/gateway_server_test.cpp
@@ -309,14 +309,7 @@
     EXPECT_TRUE(old.atEnd());
     watch.write(ok(Json{{"index", 3}, {"snapshot", true}, {"endpoints", Targets{target("b", b)}}}.dump()));
     EXPECT_TRUE(has(watch.message(), "GET /api/targets?follow=1&since=3 "));
-    for (int i = 0; i < 3; ++i) {
-        Socket client = gateway.client();
-        client.write(request("spend", "r" + std::to_string(i), 8000, "x"));
-        Socket at = b.accept();
-        at.message();
-        at.write("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-        EXPECT_EQ(statusOf(client.message()), 200);
-    }
+    expectServedBy(gateway, b, 3);
     EXPECT_FALSE(a.waitReadable(0));
     gateway.reload(third);  // it comes repeatedly
     EXPECT_TRUE(has(third.accept().message(), "GET /api/targets HTTP/1.1\r\n"));
--- a/tests/support/gateway_process.h
+++ b/tests/support/gateway_process.h
@@ -208,4 +208,16 @@
     return text + "\r\n" + body;
 }
 
+// So many requests one after the other reach `endpoint`, each on a connection of its own, and are served.
+inline void expectServedBy(const GatewayProcess& gateway, Server& endpoint, int requests) {
+    for (int i = 0; i < requests; ++i) {
+        Socket client = gateway.client();
+        client.write(request("spend", "r" + std::to_string(i), 8000, "x"));
+        Socket connection = endpoint.accept();
+        connection.message();
+        connection.write("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+        EXPECT_EQ(statusOf(client.message()), 200);
+    }
+}
+
 }  // namespace gateway::net::test
--- a/tests/watch_stream_test.cpp
+++ b/tests/watch_stream_test.cpp
@@ -29,14 +29,7 @@
     watch.close();
     Socket third = gateway.discovery.accept();
     EXPECT_TRUE(has(third.message(), "since=50 "));
-    for (int i = 0; i < 4; ++i) {
-        Socket client = gateway.client();
-        client.write(request("spend", "r" + std::to_string(i), 8000, "x"));
-        Socket at = b.accept();
-        at.message();
-        at.write("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-        EXPECT_EQ(statusOf(client.message()), 200);
-    }
+    expectServedBy(gateway, b, 4);
     EXPECT_FALSE(a.waitReadable(0));
 }
 
