--- a/include/gateway/actions.h
+++ b/include/gateway/actions.h
@@ -47,7 +47,7 @@
     Duration after{};
 };
 
-// Keep the engine told of the endpoint set from now on.
+// Watch discovery, and report changes of the endpoint set from now on.
 struct WatchEndpoints {};
 
 using Action = std::variant<SendAttempt, CancelAttempt, RejectRequest, FailRequest, AddToCounter, SetTimer,
--- a/include/gateway/events.h
+++ b/include/gateway/events.h
@@ -1,4 +1,4 @@
-// What a decision engine is told.
+// The events that a decision engine handles.
 #pragma once
 
 #include <cstdint>
@@ -31,7 +31,7 @@
     failed,    // discovery could not be asked; there are no entries
 };
 
-// Discovery told of the endpoint set.
+// Discovery reported the endpoint set, or a change of it.
 struct EndpointUpdate {
     UpdateKind kind = UpdateKind::delta;
     std::vector<EndpointEntry> entries;
--- a/include/gateway/settings.h
+++ b/include/gateway/settings.h
@@ -77,12 +77,12 @@
     bool counterEnabled = false;  // the counter service may be called
     Duration counterTimeout{};
     double maxRequestCost = 1;
-    bool reconciliationEnabled = false;  // a request's cost is an estimate; its response tells the true one
+    bool reconciliationEnabled = false;  // a request's cost is an estimate; its response reports the true one
     Duration usageMeterPeriod{};         // of the meter that responses carry; 0: there is no meter
 
     Duration responseSlack{};          // for a final answer, past the client's deadline
     Duration drainGracePeriod{};       // during which a draining endpoint may still be sent attempts
-    Duration maxPollInterval{};        // DiscoveryMode::poll: changes count as told after this long
+    Duration maxPollInterval{};        // DiscoveryMode::poll: changes count as known after this long
     double slowStartInitialShare = 1;  // share of its capacity that an endpoint starts with, from 0 to 1
     Duration slowStartDuration{};      // until it has its full capacity; 0: from the start
     double overloadMultiple = 1;       // an endpoint that is warming up fails when it is sent more than this
--- a/include/gateway/types.h
+++ b/include/gateway/types.h
@@ -13,7 +13,7 @@
 using Duration = std::chrono::microseconds;
 
 // A moment, counted from an epoch that all gateways of a fleet share: the names of window slices on the
-// counter and the start times of endpoints are told in it.
+// counter and the start times of endpoints are counted in it.
 using Time = std::chrono::microseconds;
 
 // A name that can't be taken for one of another kind. `Tag` tells the kinds apart.
--- a/src/decision/counter_ledger.h
+++ b/src/decision/counter_ledger.h
@@ -23,7 +23,7 @@
     struct ReplyResult {
         RequestKey charged = RequestKey::none;  // whose charge it answers and who still waits
         std::vector<RequestKey> readers;        // requests that waited for the slice's sum only
-        bool ok = false;                        // it told a sum
+        bool ok = false;                        // it reported a sum
         TenantId tenant{};
         // Where the slice stood in Tenant::slices when the reply came; nothing where it is not known. If
         // dealing with the requests opens a new slice, another one stands there in afterReply(): see "Known
--- a/src/decision/endpoint_set.h
+++ b/src/decision/endpoint_set.h
@@ -19,7 +19,7 @@
     EndpointSet(const Settings& settings, const SlowStart& slowStart, const ConcurrencyLimiter& limiter)
         : settings_(settings), slowStart_(slowStart), limiter_(limiter) {}
 
-    // Takes in what discovery told.
+    // Takes in what discovery reported.
     void apply(const EndpointUpdate& update, Time now);
 
     // Draws the subset anew if it is old: some endpoints have warmed up meanwhile.
--- a/src/decision/tenant.h
+++ b/src/decision/tenant.h
@@ -14,7 +14,7 @@
     double totalSeen = 0;   // the same over all gateways
     double demand = 0;      // cost a second that is asked for here
     Time demandAt{};        // when that was last updated
-    Time totalAt{};         // when the counter last told a sum
+    Time totalAt{};         // when the counter last reported a sum
     double meteredUse = 1;  // share of its quota in all, by the meter and the counter's rejections
 };
 
--- a/src/decision/tenant_table.cpp
+++ b/src/decision/tenant_table.cpp
@@ -9,7 +9,7 @@
 
 constexpr int kTouchesPerSweep = 5000;
 constexpr Duration kForgetAfter = 2 * kMaxCounterNameLife;  // without a request
-constexpr double kInitialMeteredUse = 0.9;                  // before the meter told
+constexpr double kInitialMeteredUse = 0.9;                  // before the meter reported
 
 }  // namespace
 
--- a/src/decision/usage_estimator.h
+++ b/src/decision/usage_estimator.h
@@ -32,7 +32,7 @@
     // A slice leaves the window: its sum tells the tenant's traffic share.
     void noteClosedSlice(Tenant& tenant, const WindowSlice& slice) const;
 
-    // The meter told how much of its quota the tenant uses, in percent.
+    // The meter reported how much of its quota the tenant uses, in percent.
     void noteMeter(Tenant& tenant, double percent) const;
 
 private:
--- a/src/decision/window_slice.h
+++ b/src/decision/window_slice.h
@@ -36,7 +36,7 @@
     double total = 0;              // last known sum over all gateways, less own rejected cost
     double admittedSince = 0;      // admitted here since then
     double othersSince = 0;        // what the others admitted since then, by the observed share
-    Time repliedAt{};              // when the counter last told its sum
+    Time repliedAt{};              // when the counter last reported its sum
     double ownAdmitted = 0;        // admitted here in all
     double forfeited = 0;          // room past the burst that was seen: it is lost
     bool hasTotal = false;         // the counter replied for it
@@ -67,7 +67,8 @@
     // Counts were lost on the counter: that much of what was posted is pending again.
     void repost(double lost);
 
-    // The counter told its sum in reply to `call`. Also sums up anew what was admitted and is in no sum yet.
+    // The counter reported its sum in reply to `call`. Also sums up anew what was admitted and is in no sum
+    // yet.
     void applyTotal(const CounterCall& call, double sum, Time now);
 
     // A charge goes back with the next add; `inTotal` says that it is in `total`.
--- a/src/net/client/client_response.h
+++ b/src/net/client/client_response.h
@@ -10,7 +10,7 @@
 
 struct ClientResponse {
     int status = 200;
-    Duration retryAfter{};  // when to come back; 0: not told
+    Duration retryAfter{};  // when to come back; 0: no advice
     std::string_view contentType;
     std::string_view body;
 };
--- a/src/net/client/client_session.h
+++ b/src/net/client/client_session.h
@@ -110,7 +110,7 @@
     bool busy_ = false;       // a request waits for its answer
     bool lingering_ = false;  // sends no more, and waits for the client's end
     bool partial_ = false;    // a request is coming
-    bool continued_ = false;  // and was told to go on
+    bool continued_ = false;  // and got 100 Continue
     bool keepAlive_ = true;
 };
 
--- a/src/net/config/config.h
+++ b/src/net/config/config.h
@@ -1,4 +1,4 @@
-// What a gateway process is told at its start: EDGE_CONFIG, with EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY
+// The configuration of a gateway process: EDGE_CONFIG, with EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY
 // over it.
 #pragma once
 
@@ -18,11 +18,11 @@
     // After SIGTERM new connections go on coming for this long at least.
     Duration listenAfterShutdown = std::chrono::milliseconds(500);
     Duration idleGracePeriod = std::chrono::milliseconds(250);  // connections without a request then
-    // A new process waits so long for the list that its agent has, which counts as told, before it is ready
+    // A new process waits so long for the list that its agent has, which counts as known, before it is ready
     // on the one it was given. Longer would be no use: the agent says nothing while discovery is down.
     Duration initialUpdateWait = std::chrono::milliseconds(500);
     // One that was given an empty list is ready after so long without another: soon what discovery has counts
-    // as told, and a process that never is ready is taken for one that failed.
+    // as known, and a process that never is ready is taken for one that failed.
     Duration emptyListWait = std::chrono::seconds(5);
     // A connection to an endpoint carries no next request for so long after a response: a second one that
     // comes some milliseconds late would be taken for that request's. Seen on played days: up to 4 ms.
--- a/src/net/counter/counter_client.cpp
+++ b/src/net/counter/counter_client.cpp
@@ -101,7 +101,7 @@
 
 void CounterClient::moveLane(std::size_t index) {
     Lane& lane = lanes_[index];
-    // Replies of two moves ago can't be waited for: what comes of those calls is told as not known.
+    // Replies of two moves ago can't be waited for: what comes of those calls is reported as unknown.
     if (const auto older = std::exchange(lane.previous, nullptr)) older->failAll();
     if (const auto old = std::exchange(lane.current, nullptr)) {
         if (!old->isOpen() || old->isIdle()) {
@@ -113,7 +113,7 @@
     }
     lane.backoff = {};
     lane.closedUntil = {};
-    if (!lane.current) connect(index);  // what was told may have caused a call already
+    if (!lane.current) connect(index);  // what was reported may have caused a call already
 }
 
 // The module takes a name's replies in the order of its calls: no call goes to the new address while one is
--- a/src/net/counter/counter_client.h
+++ b/src/net/counter/counter_client.h
@@ -65,7 +65,7 @@
     boost::asio::io_context& io_;
     TimerQueue& timers_;
     tcp::endpoint address_;
-    std::string host_;  // as told to the counter
+    std::string host_;  // as sent to the counter
     Limits limits_;
     ReplyHandler onReply_;
     std::vector<Lane> lanes_;
--- a/src/net/counter/counter_connection.cpp
+++ b/src/net/counter/counter_connection.cpp
@@ -123,7 +123,7 @@
         error_code ec;
         input().consume(parser_->put(input().data(), ec));
         if (ec == http::error::need_more) return;
-        // Unreadable: what it answers was added, and of what stands behind it nothing will be told.
+        // Unreadable: what it answers was added, and of what stands behind it nothing will be reported.
         if (announcesBodyOver(*parser_, kMaxReplyBytes)) return onClosed();
         if (ec || parser_->need_eof() || (parser_->is_done() && calls_.empty())) return onClosed();
         if (!parser_->is_done()) return;
@@ -149,7 +149,7 @@
     }
     const Call call = std::move(calls_.front());
     calls_.pop_front();
-    // A reply after the time-out has been told of already; it is only taken off the line.
+    // A reply after the time-out has been reported already; it is only taken off the line.
     if (!call.reported)
         report(call, status == kOk ? Outcome::ok : Outcome::rejected, hasTotal ? std::get<double>(total) : 0);
     if (!isOpen()) return false;
@@ -159,7 +159,7 @@
 
 void CounterConnection::onClosed() {
     const bool wasUp = isOpen() || written() > 0;
-    // First out of its lane: what is told now can cause calls at once, and those must not be made here.
+    // First out of its lane: what is reported now can cause calls at once, and those must not be made here.
     owner_.onBroken(*this, wasUp);
     failAll(Outcome::reset);
 }
--- a/src/net/counter/counter_connection.h
+++ b/src/net/counter/counter_connection.h
@@ -32,7 +32,7 @@
         virtual void onConnected(const CounterConnection& connection) = 0;
         // A call has ended.
         virtual void onReply(const CounterConnection& connection, CounterReplied&& reply) = 0;
-        // The connection ended, before its calls are told of. `wasUp`: it had come up before.
+        // The connection ended, before its calls are reported. `wasUp`: it had come up before.
         virtual void onBroken(const CounterConnection& connection, bool wasUp) = 0;
     };
 
--- a/src/net/discovery/endpoint_list.h
+++ b/src/net/discovery/endpoint_list.h
@@ -14,7 +14,7 @@
 // An endpoint and where it listens.
 struct ResolvedEndpoint {
     EndpointEntry entry;
-    boost::asio::ip::tcp::endpoint address;  // port 0: not told, of one that was removed
+    boost::asio::ip::tcp::endpoint address;  // port 0: no advice, of one that was removed
 };
 
 // One document of discovery's.
--- a/src/net/discovery/poll_schedule.h
+++ b/src/net/discovery/poll_schedule.h
@@ -49,7 +49,7 @@
         return PollSchedule(PollSlots(0, 1), Duration::zero(), seed);
     }
     // One service with a queue for all gateways. `maxPollInterval`: the longest that it may go uncalled; 0:
-    // not told.
+    // not set.
     static PollSchedule poll(int gatewayIndex, int gatewayCount, Duration maxPollInterval,
                              std::uint64_t seed) {
         constexpr Duration kUsual = kUpdateDeadline - kMaxCallTime;
@@ -77,7 +77,7 @@
     }
     // There was no descriptor for it: discovery has seen nothing of that call.
     Duration afterShortage() { return backoff_.next(); }
-    // A list was told.
+    // A list was reported.
     void onAnswer() {
         backoff_.reset();
         urgentUntil_ = Time::min();
--- a/src/net/server/gateway_server.h
+++ b/src/net/server/gateway_server.h
@@ -102,7 +102,7 @@
     std::size_t timersInFlight_ = 0;  // set by the engine, and not fired yet
     bool handling_ = false;
     bool hasList_ = false;
-    bool isListCurrent_ = false;  // discovery has told what it has, or was waited for long enough
+    bool isListCurrent_ = false;  // discovery has reported what it has, or was waited for long enough
 };
 
 }  // namespace gateway::net
--- a/src/net/transport/clock.h
+++ b/src/net/transport/clock.h
@@ -8,7 +8,7 @@
 namespace gateway::net {
 
 // Guards against steps of the system's clock in mid-life; the epoch is the one that all gateways share,
-// since the names of slices on the counter and the endpoints' starts are told in it.
+// since the names of slices on the counter and the endpoints' starts are counted in it.
 class Clock {
 public:
     Time now() const { return at(std::chrono::steady_clock::now()); }
--- a/src/net/transport/tcp_connection.cpp
+++ b/src/net/transport/tcp_connection.cpp
@@ -35,7 +35,7 @@
     socket_.open(peer.protocol(), ec);
     if (ec && reclaimDescriptor && reclaimDescriptor()) socket_.open(peer.protocol(), ec);
     lacksDescriptor_ = static_cast<bool>(ec);
-    if (ec) {  // told from the loop, as all failures are
+    if (ec) {  // reported from the loop, as all failures are
         timers.after(Duration::zero(), [weak = weak_from_this()] {
             if (const auto self = weak.lock()) self->fail();
         });
--- a/src/net/upstream/attempt.h
+++ b/src/net/upstream/attempt.h
@@ -23,7 +23,7 @@
     Outcome outcome = Outcome::reset;
     Duration elapsed{};
     std::optional<LoadReport> report;
-    std::optional<double> meteredPercent;  // the tenant's use, where the endpoint told it
+    std::optional<double> meteredPercent;  // the tenant's use, where the endpoint reported it
     std::optional<double> trueCost;        // of a 200: what the request cost in the end
     std::string contentType;               // of a 200
     std::string body;                      // of a 200
--- a/src/net/upstream/upstream_connection.h
+++ b/src/net/upstream/upstream_connection.h
@@ -46,7 +46,7 @@
     void assign(AttemptId attempt);
     AttemptId attempt() const { return attempt_; }
 
-    // Writes the attempt's request; `timeout` is told to the endpoint.
+    // Writes the attempt's request; `timeout` is sent to the endpoint.
     void write(const ForwardedRequest& request, std::chrono::milliseconds timeout);
 
     // The last byte of the attempt's request has gone to the kernel: it may have run.
--- a/src/net/upstream/upstream_pool.h
+++ b/src/net/upstream/upstream_pool.h
@@ -35,7 +35,7 @@
     // `io` and `timers` must outlive the pool.
     UpstreamPool(boost::asio::io_context& io, TimerQueue& timers, const Limits& limits, Hooks hooks);
 
-    // Takes in what discovery told.
+    // Takes in what discovery reported.
     void update(const EndpointList& list);
 
     // Every attempt ends with one call of Hooks::onEnded, at the earliest within this call. Where
@@ -58,7 +58,7 @@
     struct Endpoint {
         tcp::endpoint address;
         Time startedAt{};
-        Moment leavingSince = Moment::max();  // told that it drains or was removed
+        Moment leavingSince = Moment::max();  // discovery reported that it drains or was removed
         Moment heardAt{};                     // its latest response
         std::vector<ConnectionPtr> idle;      // the one used last at the back
     };
--- a/src/net/upstream/upstream_response.h
+++ b/src/net/upstream/upstream_response.h
@@ -11,7 +11,7 @@
 using HttpResponse = boost::beast::http::response<boost::beast::http::string_body>;
 
 // Takes the body out of a final response, one with a status of 200 or more. Figures in headers that can't be
-// read whole count as not told: one NaN would stay in the module's means for good.
+// read whole count as not reported: one NaN would stay in the module's means for good.
 AttemptResult readAttemptResult(HttpResponse& message);
 
 }  // namespace gateway::net
--- a/src/settings/input_error.h
+++ b/src/settings/input_error.h
@@ -1,7 +1,8 @@
 // Errors of input from outside: where it stands, and what is wrong with it.
 //
 // docs/architecture.md has the rule: what is read once or seldom (configuration, settings, discovery's lists,
-// the simulator's lines) throws the type of its boundary; what comes with every request is told by a result.
+// the simulator's lines) throws the type of its boundary; what comes with every request is reported by a
+// result.
 #pragma once
 
 #include <stdexcept>
@@ -34,7 +35,7 @@
     using InputError::InputError;
 };
 
-// A list of endpoints that discovery told.
+// A list of endpoints that discovery reported.
 class EndpointListError final : public InputError {
     using InputError::InputError;
 };
--- a/src/settings/settings_json.cpp
+++ b/src/settings/settings_json.cpp
@@ -48,7 +48,7 @@
     settings.connectTimeout = allowed.seconds("dialTimeoutS", 0);
 }
 
-// The counter service, and how costs are told.
+// The counter service, and how costs are reported.
 void readDomain(const Fields& domain, Settings& settings) {
     settings.counterEnabled = domain.flag("mayCount");
     settings.counterTimeout = domain.seconds("counterTimeoutS", 0);
