--- a/include/gateway/decision_engine.h
+++ b/include/gateway/decision_engine.h
@@ -25,7 +25,7 @@
 
     // Takes in one event that happens at `now` and appends what is to be done, in order. `now` must not go
     // back from one call to the next.
-    void handle(Time now, const Event& event, Actions& actions);
+    void handle(TimePoint now, const Event& event, Actions& actions);
 
 private:
     class Impl;
--- a/include/gateway/events.h
+++ b/include/gateway/events.h
@@ -17,10 +17,10 @@
 struct EndpointEntry {
     EndpointId endpoint;
     Availability availability = Availability::up;
-    Time startedAt{};   // of its latest start; 0: long ago
-    int cell = 0;       // for DeduplicationScope::cell
-    int kind = 0;       // of machine
-    int zone = 0;       // where it runs
+    TimePoint startedAt{};  // of its latest start; 0: long ago
+    CellId cell{};          // for DeduplicationScope::cell
+    MachineKind kind{};
+    ZoneId zone{};      // where it runs
     double weight = 1;  // its share of the traffic, relative to the others'
 };
 
@@ -40,12 +40,12 @@
 // A client sent a request.
 struct RequestArrived {
     RequestId request;
-    int requestClass = 0;  // index into Settings::classes
-    int plan = 0;          // index into Settings::plans
+    RequestClassIndex requestClass{};
+    QuotaPlanIndex plan{};
     TenantId tenant{};
-    Time deadline{};      // when the client abandons this try
-    double cost = 1;      // what it charges to the quota; an estimate with Settings::reconciliationEnabled
-    int entryPoints = 1;  // gateways through which this tenant's requests may come; 1 or more
+    TimePoint deadline{};  // when the client abandons this try
+    double cost = 1;       // what it charges to the quota; an estimate with Settings::reconciliationEnabled
+    int entryPoints = 1;   // gateways through which this tenant's requests may come; 1 or more
     bool isRetry = false;
 };
 
--- a/include/gateway/settings.h
+++ b/include/gateway/settings.h
@@ -57,11 +57,14 @@
 enum class LoadReportSource { inResponses, inHealthChecks, none };
 
 struct Settings {
+    const RequestClass& requestClass(RequestClassIndex index) const { return classes[toPosition(index)]; }
+    const QuotaPlan& plan(QuotaPlanIndex index) const { return plans[toPosition(index)]; }
+
     std::vector<RequestClass> classes;  // at least one
     std::vector<QuotaPlan> plans;       // empty: no tenant has a quota
     int gatewayIndex = 0;               // this gateway's, from 0 up to gatewayCount
     int gatewayCount = 1;
-    int zone = 0;  // where this gateway runs
+    ZoneId zone{};  // where this gateway runs
     DiscoveryMode discovery = DiscoveryMode::push;
     LoadReportSource loadReportSource = LoadReportSource::none;
     bool endpointWeightsEnabled = false;  // false: every endpoint's weight reads 1
--- a/include/gateway/types.h
+++ b/include/gateway/types.h
@@ -1,22 +1,33 @@
-// Units and identifiers that settings, events and actions share.
+// Time, identifier and index types that settings, events and actions share.
 #pragma once
 
 #include <chrono>
+#include <cstddef>
 #include <cstdint>
 #include <functional>
 #include <string>
+#include <type_traits>
 #include <utility>
 
 namespace gateway {
 
-// A span of time; microseconds are the finest unit that the protocol tells.
+// A span of time. Microseconds are the resolution of the protocol.
 using Duration = std::chrono::microseconds;
 
-// A moment, counted from an epoch that all gateways of a fleet share: the names of window slices on the
-// counter and the start times of endpoints are counted in it.
-using Time = std::chrono::microseconds;
+// The clock that all gateways of a fleet share. The names of window slices on the counter and the start times
+// of endpoints are counted from its epoch. It has no now(): callers pass the current time in.
+struct FleetClock {
+    using duration = Duration;
+    using rep = duration::rep;
+    using period = duration::period;
+    using time_point = std::chrono::time_point<FleetClock>;
+    static constexpr bool is_steady = false;
+};
+
+// A point in time on the fleet's clock.
+using TimePoint = FleetClock::time_point;
 
-// A name that can't be taken for one of another kind. `Tag` tells the kinds apart.
+// A string identifier. Identifiers with different tags are different types and don't convert to each other.
 template <class Tag>
 class StringId {
 public:
@@ -32,15 +43,29 @@
     std::string value_;
 };
 
-using RequestId = StringId<struct RequestIdTag>;    // as the client chose it; unique while in flight
+using RequestId = StringId<struct RequestIdTag>;    // chosen by the client; unique while in flight
 using EndpointId = StringId<struct EndpointIdTag>;  // the name under which discovery lists an endpoint
-enum class TenantId : std::uint64_t {};             // the holder of a quota
-enum class TimerId : std::uint64_t {};              // chosen by the engine for each SetTimer
+
+enum class TenantId : std::uint64_t {};  // the holder of a quota
+enum class TimerId : std::uint64_t {};   // chosen by the engine for each SetTimer
+
+enum class RequestClassIndex : int {};  // index into Settings::classes
+enum class QuotaPlanIndex : int {};     // index into Settings::plans
+enum class ZoneId : int {};             // index of a zone in the settings
+enum class CellId : int {};             // endpoints of one cell deduplicate requests together
+enum class MachineKind : int {};        // index of a kind of machine in the settings
+
+// The position that an index type stands for. Precondition: `index` is not negative.
+template <class Index>
+requires std::is_enum_v<Index>
+constexpr std::size_t toPosition(Index index) {
+    return static_cast<std::size_t>(index);
+}
 
 }  // namespace gateway
 
-// Not noexcept: libstdc++ then keeps the hash with each entry of a map, as for strings, and does not compute
-// it anew for every entry that a look-up passes.
+// Not noexcept: libstdc++ then caches the hash in each map node, as it does for strings, and does not
+// recompute it for every node that a lookup passes.
 template <class Tag>
 struct std::hash<gateway::StringId<Tag>> {
     std::size_t operator()(const gateway::StringId<Tag>& id) const {
--- a/src/decision/decision_engine.cpp
+++ b/src/decision/engine/decision_engine.cpp
@@ -3,7 +3,7 @@
 #include <stdexcept>
 #include <utility>
 
-#include "decision/decision_engine_impl.h"
+#include "decision/engine/decision_engine_impl.h"
 
 namespace gateway {
 
@@ -13,7 +13,7 @@
 DecisionEngine::DecisionEngine(DecisionEngine&&) noexcept = default;
 DecisionEngine& DecisionEngine::operator=(DecisionEngine&&) noexcept = default;
 
-void DecisionEngine::handle(Time now, const Event& event, Actions& actions) {
+void DecisionEngine::handle(TimePoint now, const Event& event, Actions& actions) {
     impl_->handle(now, event, actions);
 }
 
--- a/src/decision/decision_engine_impl.cpp
+++ b/src/decision/engine/decision_engine_impl.cpp
@@ -1,12 +1,12 @@
-#include "decision/decision_engine_impl.h"
+#include "decision/engine/decision_engine_impl.h"
 
 #include <algorithm>
 #include <stdexcept>
 #include <utility>
 #include <variant>
 
-#include "decision/arithmetic.h"
-#include "decision/outlier_detector.h"
+#include "decision/common/arithmetic.h"
+#include "decision/upstream/outlier_detector.h"
 
 namespace gateway {
 namespace {
@@ -39,7 +39,7 @@
       picker_(settings_, endpoints_, endpointStats_, slowStart_),
       retries_(settings_, latency_) {}
 
-void DecisionEngine::Impl::handle(Time now, const Event& event, Actions& actions) {
+void DecisionEngine::Impl::handle(TimePoint now, const Event& event, Actions& actions) {
     if (!startedAt_) {
         startedAt_ = now;
         endpointStats_.start(now);
@@ -154,7 +154,7 @@
 }
 
 void DecisionEngine::Impl::observeAttempt(const Request& request, const AttemptEnded& ended,
-                                          Endpoint& endpoint, Time now) {
+                                          Endpoint& endpoint, TimePoint now) {
     endpointStats_.observe(endpoint, ended, endpoints_.listed(), now);
     const AttemptSample sample = latency_.observe(request, ended);
     EndpointStats::observeLatency(endpoint, sample);
@@ -244,7 +244,7 @@
 
 const QuotaPlan* DecisionEngine::Impl::planOf(const Request& request) const {
     if (settings_.plans.empty()) return nullptr;
-    return &settings_.plans[static_cast<std::size_t>(request.arrival.plan)];
+    return &settings_.plans[toPosition(request.arrival.plan)];
 }
 
 }  // namespace gateway
--- a/src/decision/decision_engine_impl.h
+++ b/src/decision/engine/decision_engine_impl.h
@@ -3,24 +3,24 @@
 
 #include <optional>
 
-#include "decision/ceiling_bucket.h"
-#include "decision/concurrency_limiter.h"
-#include "decision/counter_ledger.h"
-#include "decision/counter_sampler.h"
-#include "decision/endpoint_picker.h"
-#include "decision/endpoint_set.h"
-#include "decision/endpoint_stats.h"
-#include "decision/event_context.h"
-#include "decision/latency_stats.h"
-#include "decision/quota_admission.h"
-#include "decision/quota_window.h"
-#include "decision/random_source.h"
-#include "decision/request_table.h"
-#include "decision/retry_policy.h"
-#include "decision/slow_start.h"
-#include "decision/tenant_table.h"
-#include "decision/timer_table.h"
-#include "decision/usage_estimator.h"
+#include "decision/common/random_source.h"
+#include "decision/engine/event_context.h"
+#include "decision/engine/request_table.h"
+#include "decision/engine/timer_table.h"
+#include "decision/quota/ceiling_bucket.h"
+#include "decision/quota/counter_ledger.h"
+#include "decision/quota/counter_sampler.h"
+#include "decision/quota/quota_admission.h"
+#include "decision/quota/quota_window.h"
+#include "decision/quota/tenant_table.h"
+#include "decision/quota/usage_estimator.h"
+#include "decision/upstream/concurrency_limiter.h"
+#include "decision/upstream/endpoint_picker.h"
+#include "decision/upstream/endpoint_set.h"
+#include "decision/upstream/endpoint_stats.h"
+#include "decision/upstream/latency_stats.h"
+#include "decision/upstream/retry_policy.h"
+#include "decision/upstream/slow_start.h"
 #include "gateway/decision_engine.h"
 
 namespace gateway {
@@ -32,7 +32,7 @@
     Impl& operator=(const Impl&) = delete;
     ~Impl() = default;
 
-    void handle(Time now, const Event& event, Actions& actions);
+    void handle(TimePoint now, const Event& event, Actions& actions);
 
 private:
     void on(EventContext& context, const EndpointUpdate& update);
@@ -52,7 +52,7 @@
     void onAwaitedReply(EventContext& context, RequestKey key, bool ok);
     void decide(EventContext& context, Request& request);
     void sendAttempt(EventContext& context, Request& request);
-    void observeAttempt(const Request& request, const AttemptEnded& ended, Endpoint& endpoint, Time now);
+    void observeAttempt(const Request& request, const AttemptEnded& ended, Endpoint& endpoint, TimePoint now);
     void noteRun(Request& request, const AttemptEnded& ended, const Attempt& attempt,
                  const Endpoint& endpoint);
     void settleCost(EventContext& context, Request& request, const AttemptEnded& ended, Tenant* tenant);
@@ -63,7 +63,7 @@
 
     Settings settings_;
     RandomSource random_;
-    std::optional<Time> startedAt_;
+    std::optional<TimePoint> startedAt_;
     bool watchesEndpoints_ = false;
     TimerTable timers_;
     RequestTable requests_;
--- a/src/decision/event_context.h
+++ b/src/decision/engine/event_context.h
@@ -1,15 +1,15 @@
 // What the parts of the decision module share while one event is handled.
 #pragma once
 
-#include "decision/random_source.h"
-#include "decision/timer_table.h"
+#include "decision/common/random_source.h"
+#include "decision/engine/timer_table.h"
 #include "gateway/actions.h"
 #include "gateway/types.h"
 
 namespace gateway {
 
 struct EventContext {
-    Time now;
+    TimePoint now;
     Actions& actions;  // what is to be done, in order
     RandomSource& random;
     TimerTable& timers;
--- a/src/decision/timer_table.h
+++ b/src/decision/engine/timer_table.h
@@ -7,7 +7,7 @@
 #include <unordered_map>
 #include <variant>
 
-#include "decision/request_table.h"
+#include "decision/engine/request_table.h"
 #include "gateway/actions.h"
 
 namespace gateway {
--- a/src/decision/ceiling_bucket.cpp
+++ b/src/decision/quota/ceiling_bucket.cpp
@@ -1,20 +1,22 @@
-#include "decision/ceiling_bucket.h"
+#include "decision/quota/ceiling_bucket.h"
 
 #include <algorithm>
 
-#include "decision/arithmetic.h"
-#include "decision/quota_window.h"
+#include "decision/common/arithmetic.h"
+#include "decision/quota/quota_window.h"
 
 namespace gateway {
 
 // The bucket starts empty, as another life of this gateway may just have spent it. When the number of entry
 // points changes it fills by the smaller part until the next request. A tenant forgotten here was idle for
 // twice the longest name and gets what that time fills at most.
-bool CeilingBucket::take(Tenant& tenant, const QuotaPlan& plan, double cost, Time now, Time startedAt) const {
+bool CeilingBucket::take(Tenant& tenant, const QuotaPlan& plan, double cost, TimePoint now,
+                         TimePoint startedAt) const {
     CeilingTokens& bucket = tenant.ceiling;
     const double share = 1.0 / tenant.entryPoints;
-    const bool neverFilled = bucket.filledAt == Time{};
-    const Time since = neverFilled ? std::max(startedAt, now - 2 * kMaxCounterNameLife) : bucket.filledAt;
+    const bool neverFilled = bucket.filledAt == TimePoint{};
+    const TimePoint since =
+        neverFilled ? std::max(startedAt, now - 2 * kMaxCounterNameLife) : bucket.filledAt;
     const double rate = plan.ceilingRate - (settings_.counterEnabled ? plan.rate : 0);
     const double filled = toSeconds(now - since) * std::max(0.0, rate) * std::min(share, bucket.share);
     bucket.tokens = std::min(capacity(tenant, plan), bucket.tokens + filled);
--- a/src/decision/ceiling_bucket.h
+++ b/src/decision/quota/ceiling_bucket.h
@@ -6,7 +6,7 @@
 // most quota + n x (ceiling - quota) / n, however unevenly the tenant comes.
 #pragma once
 
-#include "decision/tenant.h"
+#include "decision/quota/tenant.h"
 #include "gateway/settings.h"
 
 namespace gateway {
@@ -17,7 +17,7 @@
     explicit CeilingBucket(const Settings& settings) : settings_(settings) {}
 
     // Draws `cost`; false where there are too few tokens. `startedAt` is when this gateway started.
-    bool take(Tenant& tenant, const QuotaPlan& plan, double cost, Time now, Time startedAt) const;
+    bool take(Tenant& tenant, const QuotaPlan& plan, double cost, TimePoint now, TimePoint startedAt) const;
 
     // Gives back what a reply of the counter has shown to be within the quota.
     void giveBack(Tenant& tenant, const QuotaPlan& plan, double cost) const;
--- a/src/decision/counter_ledger.cpp
+++ b/src/decision/quota/counter_ledger.cpp
@@ -1,10 +1,10 @@
-#include "decision/counter_ledger.h"
+#include "decision/quota/counter_ledger.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "decision/arithmetic.h"
-#include "decision/slice_name.h"
+#include "decision/common/arithmetic.h"
+#include "decision/quota/slice_name.h"
 
 namespace gateway {
 namespace {
@@ -88,7 +88,7 @@
     slice.othersSince = parts_.usage.othersWhile(tenant, call.carriedUnverified);
     const double burst = std::max(plan.burst, parts_.settings.maxRequestCost);
     const double most = burst + plan.rate * sliceSeconds(plan);
-    const double age = toSeconds(context.now) - sliceStart(tenant.id, plan, slice.index);
+    const double age = secondsSinceEpoch(context.now) - sliceStart(tenant.id, plan, slice.index);
     const double full = std::min(most, most + plan.rate * (age - sliceSeconds(plan))) - slice.forfeited;
     if (plan.ceilingRate > 0 && lost <= 0 && slice.total <= full)
         parts_.ceiling.giveBack(tenant, plan, call.unverified);
@@ -122,7 +122,7 @@
 }
 
 // A crowded counter isn't asked for a closed slice that was far from full as far as is known here.
-bool CounterLedger::mayCarryDebt(const Tenant& tenant, const WindowSlice& closed, Time now) const {
+bool CounterLedger::mayCarryDebt(const Tenant& tenant, const WindowSlice& closed, TimePoint now) const {
     return !parts_.sampler.isCrowded() || parts_.window.quotaUse(tenant, closed, now) > kDebtReadUse;
 }
 
--- a/src/decision/counter_ledger.h
+++ b/src/decision/quota/counter_ledger.h
@@ -8,12 +8,12 @@
 #include <optional>
 #include <vector>
 
-#include "decision/ceiling_bucket.h"
-#include "decision/counter_sampler.h"
-#include "decision/event_context.h"
-#include "decision/quota_window.h"
-#include "decision/request_table.h"
-#include "decision/tenant_table.h"
+#include "decision/engine/event_context.h"
+#include "decision/engine/request_table.h"
+#include "decision/quota/ceiling_bucket.h"
+#include "decision/quota/counter_sampler.h"
+#include "decision/quota/quota_window.h"
+#include "decision/quota/tenant_table.h"
 
 namespace gateway {
 
@@ -79,7 +79,7 @@
     double lostCost(const QuotaPlan& plan, const CounterCall& call, double total) const;
     void confirmCharge(EventContext& context, Tenant& tenant, const CounterCall& call, Request& request,
                        const CounterReplied& reply, std::int64_t sliceIndex) const;
-    bool mayCarryDebt(const Tenant& tenant, const WindowSlice& closed, Time now) const;
+    bool mayCarryDebt(const Tenant& tenant, const WindowSlice& closed, TimePoint now) const;
     void carryDebt(EventContext& context, Tenant& tenant, const WindowSlice& closed) const;
     void scheduleFlush(EventContext& context, const Tenant& tenant, WindowSlice& slice) const;
     bool isDroppedBySampling(EventContext& context, const Tenant& tenant, WindowSlice& slice) const;
--- a/src/decision/counter_sampler.cpp
+++ b/src/decision/quota/counter_sampler.cpp
@@ -1,10 +1,10 @@
-#include "decision/counter_sampler.h"
+#include "decision/quota/counter_sampler.h"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-#include "decision/arithmetic.h"
+#include "decision/common/arithmetic.h"
 
 namespace gateway {
 namespace {
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-void CounterSampler::observe(const CounterReplied& reply, Time now) {
+void CounterSampler::observe(const CounterReplied& reply, TimePoint now) {
     const double idle = std::min(toSeconds(now - std::exchange(observedAt_, now)), kMaxIdleSeconds);
     // A connection that broke, or a reply that can't be read, tells nothing of how crowded the counter is.
     if (reply.outcome == Outcome::reset && consecutiveFailures_ + 1 < kSilentFailures) return noteFailure();
--- a/src/decision/counter_sampler.h
+++ b/src/decision/quota/counter_sampler.h
@@ -6,7 +6,7 @@
 // passing hiccup costs a little accuracy.
 #pragma once
 
-#include "decision/random_source.h"
+#include "decision/common/random_source.h"
 #include "gateway/events.h"
 
 namespace gateway {
@@ -16,7 +16,7 @@
     explicit CounterSampler(Duration counterTimeout) : counterTimeout_(counterTimeout) {}
 
     // Learns from a reply, or from what became of a call that got none.
-    void observe(const CounterReplied& reply, Time now);
+    void observe(const CounterReplied& reply, TimePoint now);
 
     // Several calls in a row failed: nobody should wait for a reply.
     bool isSilent() const;
@@ -43,7 +43,7 @@
     double quickestReply_ = 1;  // as a share of the time-out
     double meanReplyValue_ = 0;
     int consecutiveFailures_ = 0;
-    Time observedAt_{};
+    TimePoint observedAt_{};
 };
 
 }  // namespace gateway
--- a/src/decision/quota_admission.cpp
+++ b/src/decision/quota/quota_admission.cpp
@@ -1,9 +1,9 @@
-#include "decision/quota_admission.h"
+#include "decision/quota/quota_admission.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "decision/arithmetic.h"
+#include "decision/common/arithmetic.h"
 
 namespace gateway {
 namespace {
@@ -52,7 +52,8 @@
     return parts_.window.timeUntilRoom(*tenant, request.arrival.cost, context.now);
 }
 
-QuotaAdmission::Decision QuotaAdmission::decide(EventContext& context, Request& request, Time startedAt) {
+QuotaAdmission::Decision QuotaAdmission::decide(EventContext& context, Request& request,
+                                                TimePoint startedAt) {
     Tenant& tenant = parts_.tenants.touch(request.arrival, context.now);
     const QuotaPlan& plan = parts_.usage.planOf(tenant);
     QuotaCharge& charge = request.charge;
@@ -80,7 +81,7 @@
     return {true, Duration{}};
 }
 
-bool QuotaAdmission::fitsWindow(Tenant& tenant, const Request& request, WindowSlice& slice, Time now) {
+bool QuotaAdmission::fitsWindow(Tenant& tenant, const Request& request, WindowSlice& slice, TimePoint now) {
     const QuotaCharge& charge = request.charge;
     const double sliceLength = sliceSeconds(parts_.usage.planOf(tenant));
     const bool inSum = charge.confirmed && slice.index == charge.sliceIndex;
@@ -88,8 +89,8 @@
     bool fits = parts_.window.hasRoomFor(tenant, slice, sum, request.arrival.cost, now);
     if (charge.coveredBySamples && now < tenant.rejectedAt + fromSeconds(sliceLength)) fits = false;
     if (charge.confirmed) {
-        tenant.rejectedAt = fits ? Time{} : now;
-        double& rejectedShare = rejectedShare_[static_cast<std::size_t>(tenant.plan)];
+        tenant.rejectedAt = fits ? TimePoint{} : now;
+        double& rejectedShare = rejectedShare_[toPosition(tenant.plan)];
         rejectedShare = movingAverage(rejectedShare, fits ? 0 : 1, kRejectedSmoothing);
     }
     if (tenant.rejectedAt == now) tenant.usage.meteredUse = std::max(tenant.usage.meteredUse, 1.0);
@@ -106,14 +107,14 @@
 double QuotaAdmission::unconfirmedProbability(const Tenant& tenant, const QuotaPlan& plan) const {
     const double loss = std::clamp(plan.overQuotaPenalty - plan.overQuotaWeight, 0.0, 1.0);
     if (parts_.settings.usageMeterPeriod <= Duration{})
-        return 1 - rejectedShare_[static_cast<std::size_t>(tenant.plan)] * loss;
+        return 1 - rejectedShare_[toPosition(tenant.plan)] * loss;
     const double full = 1 - kMeterMargin * loss;
     return std::pow(std::min(1.0, full / std::max(tenant.usage.meteredUse, kMinUse)), kMeterExponent);
 }
 
 // What the counter's reply is worth: most for tenants that come near their quota, and by what admitting one
 // too many costs.
-double QuotaAdmission::replyValue(const Tenant& tenant, const WindowSlice& slice, Time now) const {
+double QuotaAdmission::replyValue(const Tenant& tenant, const WindowSlice& slice, TimePoint now) const {
     const QuotaPlan& plan = parts_.usage.planOf(tenant);
     double use = std::clamp(parts_.window.quotaUse(tenant, slice, now), kMinQuotaUse, 1.0);
     if (parts_.usage.reliesOnMeter(tenant))
--- a/src/decision/quota_admission.h
+++ b/src/decision/quota/quota_admission.h
@@ -6,8 +6,8 @@
 
 #include <vector>
 
-#include "decision/counter_ledger.h"
-#include "decision/event_context.h"
+#include "decision/engine/event_context.h"
+#include "decision/quota/counter_ledger.h"
 
 namespace gateway {
 
@@ -36,13 +36,13 @@
 
     // Decides on a request, from the counter's reply where there is one, else from the last known sums and
     // what this gateway's traffic share makes of its own traffic since. `startedAt`: of this gateway.
-    Decision decide(EventContext& context, Request& request, Time startedAt);
+    Decision decide(EventContext& context, Request& request, TimePoint startedAt);
 
 private:
-    bool fitsWindow(Tenant& tenant, const Request& request, WindowSlice& slice, Time now);
+    bool fitsWindow(Tenant& tenant, const Request& request, WindowSlice& slice, TimePoint now);
     bool fitsConcurrency(const Tenant& tenant, const QuotaPlan& plan) const;
     double unconfirmedProbability(const Tenant& tenant, const QuotaPlan& plan) const;
-    double replyValue(const Tenant& tenant, const WindowSlice& slice, Time now) const;
+    double replyValue(const Tenant& tenant, const WindowSlice& slice, TimePoint now) const;
     double maxSampleWeight(const Tenant& tenant) const;
 
     CounterLedger::Parts parts_;
--- a/src/decision/quota_window.cpp
+++ b/src/decision/quota/quota_window.cpp
@@ -1,10 +1,10 @@
-#include "decision/quota_window.h"
+#include "decision/quota/quota_window.h"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-#include "decision/arithmetic.h"
+#include "decision/common/arithmetic.h"
 
 namespace gateway {
 namespace {
@@ -21,8 +21,9 @@
            static_cast<double>(kPhaseSteps);
 }
 
-std::int64_t sliceIndexAt(TenantId tenant, const QuotaPlan& plan, Time now) {
-    return static_cast<std::int64_t>(std::floor(toSeconds(now) / sliceSeconds(plan) + slicePhase(tenant)));
+std::int64_t sliceIndexAt(TenantId tenant, const QuotaPlan& plan, TimePoint now) {
+    return static_cast<std::int64_t>(
+        std::floor(secondsSinceEpoch(now) / sliceSeconds(plan) + slicePhase(tenant)));
 }
 
 }  // namespace
@@ -46,7 +47,7 @@
     return std::max(0.0, sum - plan.rate * sliceSeconds(plan));
 }
 
-WindowSlice& QuotaWindow::advance(Tenant& tenant, Time now) const {
+WindowSlice& QuotaWindow::advance(Tenant& tenant, TimePoint now) const {
     const std::int64_t current = sliceIndexAt(tenant.id, usage_.planOf(tenant), now);
     auto& slices = tenant.slices;
     while (!slices.empty() && slices.front().index < current - 1) {
@@ -74,32 +75,33 @@
 }
 
 // Many others are not taken to admit more than the plan's rate.
-double QuotaWindow::estimatedSum(const Tenant& tenant, const WindowSlice& slice, Time now) const {
+double QuotaWindow::estimatedSum(const Tenant& tenant, const WindowSlice& slice, TimePoint now) const {
     if (!usage_.reliesOnMeter(tenant)) return slice.total + slice.admittedSince + slice.othersSince;
     const QuotaPlan& plan = usage_.planOf(tenant);
-    const double from = std::max(toSeconds(slice.repliedAt), sliceStart(tenant.id, plan, slice.index));
-    const double most = plan.rate * std::max(0.0, toSeconds(now) - from);
+    const double from =
+        std::max(secondsSinceEpoch(slice.repliedAt), sliceStart(tenant.id, plan, slice.index));
+    const double most = plan.rate * std::max(0.0, secondsSinceEpoch(now) - from);
     return slice.total + slice.admittedSince + std::min(slice.othersSince, most);
 }
 
 // Room seen past the burst is taken as lost, so an idle slice saves up no more; where few sums are seen a
 // little more is admitted.
-double QuotaWindow::roomFor(const Tenant& tenant, WindowSlice& slice, double sum, Time now) const {
+double QuotaWindow::roomFor(const Tenant& tenant, WindowSlice& slice, double sum, TimePoint now) const {
     const QuotaPlan& plan = usage_.planOf(tenant);
     const double burst = std::max(plan.burst, settings_.maxRequestCost);
-    const double age = toSeconds(now) - sliceStart(tenant.id, plan, slice.index);
+    const double age = secondsSinceEpoch(now) - sliceStart(tenant.id, plan, slice.index);
     const double room = burst + plan.rate * age - sum;
     if (slice.hasTotal) slice.forfeited = std::max(slice.forfeited, room - burst);
     return room - slice.forfeited;
 }
 
 // Keeps the charge, soon to be refunded, out of the sums that others see; room just refunded is seen late.
-bool QuotaWindow::isKnownFull(Tenant& tenant, double cost, Time now) const {
+bool QuotaWindow::isKnownFull(Tenant& tenant, double cost, TimePoint now) const {
     WindowSlice& current = tenant.slices.back();
     return current.total > 0 && !hasRoomFor(tenant, current, current.total, cost, now);
 }
 
-Duration QuotaWindow::timeUntilRoom(Tenant& tenant, double cost, Time now) const {
+Duration QuotaWindow::timeUntilRoom(Tenant& tenant, double cost, TimePoint now) const {
     const QuotaPlan& plan = usage_.planOf(tenant);
     if (plan.rate <= 0 || tenant.slices.empty()) return Duration{};
     WindowSlice& current = tenant.slices.back();
@@ -107,7 +109,7 @@
     return fromSeconds(std::max(0.0, missing) / plan.rate);
 }
 
-double QuotaWindow::quotaUse(const Tenant& tenant, const WindowSlice& slice, Time now) const {
+double QuotaWindow::quotaUse(const Tenant& tenant, const WindowSlice& slice, TimePoint now) const {
     if (usage_.reliesOnMeter(tenant)) return tenant.usage.meteredUse;
     const QuotaPlan& plan = usage_.planOf(tenant);
     const double byDemand = tenant.usage.demand / (usage_.trafficShare(tenant) * plan.rate);
--- a/src/decision/quota_window.h
+++ b/src/decision/quota/quota_window.h
@@ -7,8 +7,8 @@
 
 #include <cstdint>
 
-#include "decision/tenant.h"
-#include "decision/usage_estimator.h"
+#include "decision/quota/tenant.h"
+#include "decision/quota/usage_estimator.h"
 #include "gateway/settings.h"
 
 namespace gateway {
@@ -34,28 +34,28 @@
     QuotaWindow(const Settings& settings, const UsageEstimator& usage) : settings_(settings), usage_(usage) {}
 
     // Opens the current slice, drops those that have left the window and returns the current one.
-    WindowSlice& advance(Tenant& tenant, Time now) const;
+    WindowSlice& advance(Tenant& tenant, TimePoint now) const;
 
     // The slice's sum over all gateways by now, as far as is known or estimated here.
-    double estimatedSum(const Tenant& tenant, const WindowSlice& slice, Time now) const;
+    double estimatedSum(const Tenant& tenant, const WindowSlice& slice, TimePoint now) const;
 
     // The cost that still fits when the slice's sum is `sum`; negative beyond the quota.
-    double roomFor(const Tenant& tenant, WindowSlice& slice, double sum, Time now) const;
+    double roomFor(const Tenant& tenant, WindowSlice& slice, double sum, TimePoint now) const;
 
     // `cost` fits when the slice's sum is `sum`.
-    bool hasRoomFor(const Tenant& tenant, WindowSlice& slice, double sum, double cost, Time now) const {
+    bool hasRoomFor(const Tenant& tenant, WindowSlice& slice, double sum, double cost, TimePoint now) const {
         constexpr double kRoundingMargin = 1e-6;  // of costs, which the counter sums as decimal numbers
         return roomFor(tenant, slice, sum, now) >= cost - kRoundingMargin;
     }
 
     // The last known sums leave no room for `cost`, so that the counter need not be asked.
-    bool isKnownFull(Tenant& tenant, double cost, Time now) const;
+    bool isKnownFull(Tenant& tenant, double cost, TimePoint now) const;
 
     // Until the last known sum leaves room for `cost`; 0 where it does.
-    Duration timeUntilRoom(Tenant& tenant, double cost, Time now) const;
+    Duration timeUntilRoom(Tenant& tenant, double cost, TimePoint now) const;
 
     // How much of its quota the tenant uses, about; 1 is all of it.
-    double quotaUse(const Tenant& tenant, const WindowSlice& slice, Time now) const;
+    double quotaUse(const Tenant& tenant, const WindowSlice& slice, TimePoint now) const;
 
     // Cost that was admitted and is in no sum yet.
     double unsummedCost(const Tenant& tenant, const WindowSlice& slice) const;
--- a/src/decision/tenant_table.cpp
+++ b/src/decision/quota/tenant_table.cpp
@@ -1,8 +1,8 @@
-#include "decision/tenant_table.h"
+#include "decision/quota/tenant_table.h"
 
 #include <algorithm>
 
-#include "decision/quota_window.h"
+#include "decision/quota/quota_window.h"
 
 namespace gateway {
 namespace {
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-Tenant& TenantTable::touch(const RequestArrived& arrival, Time now) {
+Tenant& TenantTable::touch(const RequestArrived& arrival, TimePoint now) {
     const auto [found, added] = tenants_.try_emplace(arrival.tenant);
     Tenant& tenant = found->second;
     if (!added && tenant.plan != arrival.plan) {  // another plan's slices have another length and numbers
@@ -21,7 +21,7 @@
         tenant = Tenant{};
         tenant.inFlight = inFlight;
     }
-    if (tenant.usedAt == Time{}) tenant.usage.meteredUse = kInitialMeteredUse;
+    if (tenant.usedAt == TimePoint{}) tenant.usage.meteredUse = kInitialMeteredUse;
     tenant.id = arrival.tenant;
     tenant.plan = arrival.plan;
     tenant.entryPoints = std::max(1, arrival.entryPoints);
@@ -30,7 +30,7 @@
     return tenant;
 }
 
-void TenantTable::forgetIdle(Time now) {
+void TenantTable::forgetIdle(TimePoint now) {
     touchesSinceSweep_ = 0;
     std::erase_if(tenants_, [&](const auto& entry) {
         const Tenant& tenant = entry.second;
--- a/src/decision/tenant_table.h
+++ b/src/decision/quota/tenant_table.h
@@ -3,7 +3,7 @@
 
 #include <unordered_map>
 
-#include "decision/tenant.h"
+#include "decision/quota/tenant.h"
 #include "gateway/events.h"
 
 namespace gateway {
@@ -11,7 +11,7 @@
 class TenantTable {
 public:
     // The tenant of a request that is handled now.
-    Tenant& touch(const RequestArrived& arrival, Time now);
+    Tenant& touch(const RequestArrived& arrival, TimePoint now);
 
     // Null where none of that tenant's requests came lately.
     Tenant* find(TenantId id) {
@@ -20,7 +20,7 @@
     }
 
 private:
-    void forgetIdle(Time now);
+    void forgetIdle(TimePoint now);
 
     std::unordered_map<TenantId, Tenant> tenants_;
     int touchesSinceSweep_ = 0;
--- a/src/decision/usage_estimator.cpp
+++ b/src/decision/quota/usage_estimator.cpp
@@ -1,11 +1,11 @@
-#include "decision/usage_estimator.h"
+#include "decision/quota/usage_estimator.h"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-#include "decision/arithmetic.h"
-#include "decision/quota_window.h"
+#include "decision/common/arithmetic.h"
+#include "decision/quota/quota_window.h"
 
 namespace gateway {
 namespace {
@@ -19,7 +19,7 @@
 }  // namespace
 
 const QuotaPlan& UsageEstimator::planOf(const Tenant& tenant) const {
-    return settings_.plans[static_cast<std::size_t>(tenant.plan)];
+    return settings_.plans[toPosition(tenant.plan)];
 }
 
 double UsageEstimator::trafficShare(const Tenant& tenant) const {
@@ -47,7 +47,7 @@
     return cost * (1 / trafficShare(tenant) - 1) * trust;
 }
 
-void UsageEstimator::noteDemand(Tenant& tenant, double cost, Time now) const {
+void UsageEstimator::noteDemand(Tenant& tenant, double cost, TimePoint now) const {
     TenantUsage& usage = tenant.usage;
     const double span = kDemandSlices * sliceSeconds(planOf(tenant));
     const Duration sinceLast = now - std::exchange(usage.demandAt, now);
--- a/src/decision/usage_estimator.h
+++ b/src/decision/quota/usage_estimator.h
@@ -1,7 +1,7 @@
 // Estimates what a tenant uses of its quota over all gateways from the part of its requests that comes here.
 #pragma once
 
-#include "decision/tenant.h"
+#include "decision/quota/tenant.h"
 #include "gateway/settings.h"
 
 namespace gateway {
@@ -27,7 +27,7 @@
     double othersWhile(const Tenant& tenant, double cost) const;
 
     // Cost a second that the tenant asks for here, over about two slices.
-    void noteDemand(Tenant& tenant, double cost, Time now) const;
+    void noteDemand(Tenant& tenant, double cost, TimePoint now) const;
 
     // A slice leaves the window: its sum tells the tenant's traffic share.
     void noteClosedSlice(Tenant& tenant, const WindowSlice& slice) const;
--- a/src/decision/window_slice.cpp
+++ b/src/decision/quota/window_slice.cpp
@@ -1,4 +1,4 @@
-#include "decision/window_slice.h"
+#include "decision/quota/window_slice.h"
 
 #include <utility>
 
@@ -49,7 +49,7 @@
     for (CounterCall& later : calls) later.postedSoFar -= lost;
 }
 
-void WindowSlice::applyTotal(const CounterCall& call, double sum, Time now) {
+void WindowSlice::applyTotal(const CounterCall& call, double sum, TimePoint now) {
     admittedSince = pendingCharge;
     for (const CounterCall& later : calls) {
         admittedSince += later.carriedCharge;
--- a/src/decision/window_slice.h
+++ b/src/decision/quota/window_slice.h
@@ -7,7 +7,7 @@
 #include <deque>
 #include <vector>
 
-#include "decision/request_table.h"
+#include "decision/engine/request_key.h"
 #include "gateway/types.h"
 
 namespace gateway {
@@ -36,7 +36,7 @@
     double total = 0;              // last known sum over all gateways, less own rejected cost
     double admittedSince = 0;      // admitted here since then
     double othersSince = 0;        // what the others admitted since then, by the observed share
-    Time repliedAt{};              // when the counter last reported its sum
+    TimePoint repliedAt{};         // when the counter last reported its sum
     double ownAdmitted = 0;        // admitted here in all
     double forfeited = 0;          // room past the burst that was seen: it is lost
     bool hasTotal = false;         // the counter replied for it
@@ -69,7 +69,7 @@
 
     // The counter reported its sum in reply to `call`. Also sums up anew what was admitted and is in no sum
     // yet.
-    void applyTotal(const CounterCall& call, double sum, Time now);
+    void applyTotal(const CounterCall& call, double sum, TimePoint now);
 
     // A charge goes back with the next add; `inTotal` says that it is in `total`.
     void addRefund(double charge, bool inTotal);
--- a/src/decision/concurrency_limiter.cpp
+++ b/src/decision/upstream/concurrency_limiter.cpp
@@ -1,9 +1,9 @@
-#include "decision/concurrency_limiter.h"
+#include "decision/upstream/concurrency_limiter.h"
 
 #include <algorithm>
 
-#include "decision/arithmetic.h"
-#include "decision/fleet_size.h"
+#include "decision/common/arithmetic.h"
+#include "decision/common/fleet_size.h"
 
 namespace gateway {
 namespace {
@@ -65,7 +65,7 @@
         maxInFlight_ += step * kTargetSlowShare / (1 - kTargetSlowShare);
 }
 
-void ConcurrencyLimiter::observe(Endpoint& endpoint, const AttemptSample& sample, Time now) {
+void ConcurrencyLimiter::observe(Endpoint& endpoint, const AttemptSample& sample, TimePoint now) {
     EndpointLimit& limit = endpoint.limit;
     if (sample.overloaded && now - limit.cutAt > fromSeconds(sample.classSeconds)) {
         limit.maxInFlight = std::max(1.0, limit.maxInFlight * kEndpointCut);
--- a/src/decision/concurrency_limiter.h
+++ b/src/decision/upstream/concurrency_limiter.h
@@ -7,9 +7,9 @@
 
 #include <cstddef>
 
-#include "decision/endpoint.h"
-#include "decision/latency_stats.h"
-#include "decision/random_source.h"
+#include "decision/common/random_source.h"
+#include "decision/upstream/endpoint.h"
+#include "decision/upstream/latency_stats.h"
 #include "gateway/settings.h"
 
 namespace gateway {
@@ -35,7 +35,7 @@
 
     // Learns from an attempt that ended.
     void observe(const AttemptSample& sample, Outcome outcome);
-    static void observe(Endpoint& endpoint, const AttemptSample& sample, Time now);
+    static void observe(Endpoint& endpoint, const AttemptSample& sample, TimePoint now);
 
 private:
     double initialShare_;  // of one endpoint's capacity that this gateway starts with, in attempts
--- a/src/decision/endpoint.h
+++ b/src/decision/upstream/endpoint.h
@@ -9,13 +9,13 @@
 struct EndpointLoad {
     double othersInFlight = 0;  // attempts of the other gateways, by its reports
     double slowness = 1;        // its latency in means of the requests' classes
-    Time observedAt{};          // its latest outcome
+    TimePoint observedAt{};     // its latest outcome
 };
 
 // Whether it is left out for its failures (outlier ejection).
 struct EndpointHealth {
     double errorShare = 0;  // moving share of attempts that failed fast
-    Time ejectedUntil{};
+    TimePoint ejectedUntil{};
     bool onProbation = false;  // back from ejection, one attempt at a time until it serves one
     int consecutiveEjections = 0;
 };
@@ -23,7 +23,7 @@
 // How many own attempts may be in flight there.
 struct EndpointLimit {
     double maxInFlight = 0;
-    Time cutAt{};
+    TimePoint cutAt{};
 };
 
 // What it may be sent while it is warming up.
--- a/src/decision/endpoint_picker.cpp
+++ b/src/decision/upstream/endpoint_picker.cpp
@@ -1,11 +1,11 @@
-#include "decision/endpoint_picker.h"
+#include "decision/upstream/endpoint_picker.h"
 
 #include <algorithm>
 #include <limits>
 #include <span>
 
-#include "decision/fleet_size.h"
-#include "decision/outlier_detector.h"
+#include "decision/common/fleet_size.h"
+#include "decision/upstream/outlier_detector.h"
 
 namespace gateway {
 namespace {
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-std::optional<std::size_t> EndpointPicker::pick(const Request& request, double relativeWork, Time now,
+std::optional<std::size_t> EndpointPicker::pick(const Request& request, double relativeWork, TimePoint now,
                                                 RandomSource& random) {
     endpoints_.refreshSubset(now);
     std::optional<std::size_t> slot = pickFrom(true, request, now, random);
@@ -29,7 +29,7 @@
     return slot;
 }
 
-std::optional<std::size_t> EndpointPicker::pickFrom(bool subset, const Request& request, Time now,
+std::optional<std::size_t> EndpointPicker::pickFrom(bool subset, const Request& request, TimePoint now,
                                                     RandomSource& random) {
     const bool heedEjections = areEjectionsHeeded(now);
     const bool isSafe = classOf(request).idempotency == Idempotency::safe;
@@ -53,13 +53,13 @@
     return best;
 }
 
-bool EndpointPicker::isCandidate(const Endpoint& endpoint, bool subset, bool heedEjections, Time now) {
+bool EndpointPicker::isCandidate(const Endpoint& endpoint, bool subset, bool heedEjections, TimePoint now) {
     if (!endpoint.usable || !ConcurrencyLimiter::hasCapacity(endpoint)) return false;
     if (heedEjections && OutlierDetector::isEjected(endpoint, now)) return false;
     return subset == (endpoint.subsetShare > 0);
 }
 
-bool EndpointPicker::areEjectionsHeeded(Time now) {
+bool EndpointPicker::areEjectionsHeeded(TimePoint now) {
     int usable = 0;
     int ejected = 0;
     for (const Endpoint& endpoint : endpoints_.slots()) {
@@ -87,7 +87,7 @@
 }
 
 // The lower the better: the load for its capacity, its slowness and its errors.
-double EndpointPicker::cost(const Endpoint& endpoint, double capacityShare, Time now,
+double EndpointPicker::cost(const Endpoint& endpoint, double capacityShare, TimePoint now,
                             RandomSource& random) const {
     // With sparse traffic the attempts of one that is warming up were drawn by its budget: those go there.
     if (stats_.isTrafficSparse() && capacityShare < 1) return 0;
--- a/src/decision/endpoint_picker.h
+++ b/src/decision/upstream/endpoint_picker.h
@@ -4,11 +4,11 @@
 #include <cstddef>
 #include <optional>
 
-#include "decision/endpoint_set.h"
-#include "decision/endpoint_stats.h"
-#include "decision/random_source.h"
-#include "decision/request_table.h"
-#include "decision/slow_start.h"
+#include "decision/common/random_source.h"
+#include "decision/engine/request.h"
+#include "decision/upstream/endpoint_set.h"
+#include "decision/upstream/endpoint_stats.h"
+#include "decision/upstream/slow_start.h"
 #include "gateway/settings.h"
 
 namespace gateway {
@@ -22,17 +22,18 @@
 
     // The slot of the best endpoint for the next attempt of `request`, whose work is `relativeWork`; nothing
     // where none may take it.
-    std::optional<std::size_t> pick(const Request& request, double relativeWork, Time now,
+    std::optional<std::size_t> pick(const Request& request, double relativeWork, TimePoint now,
                                     RandomSource& random);
 
 private:
-    std::optional<std::size_t> pickFrom(bool subset, const Request& request, Time now, RandomSource& random);
-    static bool isCandidate(const Endpoint& endpoint, bool subset, bool heedEjections, Time now);
-    bool areEjectionsHeeded(Time now);
+    std::optional<std::size_t> pickFrom(bool subset, const Request& request, TimePoint now,
+                                        RandomSource& random);
+    static bool isCandidate(const Endpoint& endpoint, bool subset, bool heedEjections, TimePoint now);
+    bool areEjectionsHeeded(TimePoint now);
     bool dropsRepeatOf(const Endpoint& endpoint, const Request& request) const;
-    double cost(const Endpoint& endpoint, double capacityShare, Time now, RandomSource& random) const;
+    double cost(const Endpoint& endpoint, double capacityShare, TimePoint now, RandomSource& random) const;
     const RequestClass& classOf(const Request& request) const {
-        return settings_.classes[static_cast<std::size_t>(request.arrival.requestClass)];
+        return settings_.classes[toPosition(request.arrival.requestClass)];
     }
 
     const Settings& settings_;
--- a/src/decision/endpoint_set.cpp
+++ b/src/decision/upstream/endpoint_set.cpp
@@ -1,11 +1,11 @@
-#include "decision/endpoint_set.h"
+#include "decision/upstream/endpoint_set.h"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-#include "decision/fleet_size.h"
-#include "decision/outlier_detector.h"
+#include "decision/common/fleet_size.h"
+#include "decision/upstream/outlier_detector.h"
 
 namespace gateway {
 namespace {
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-void EndpointSet::apply(const EndpointUpdate& update, Time now) {
+void EndpointSet::apply(const EndpointUpdate& update, TimePoint now) {
     if (update.kind != UpdateKind::delta)
         for (Endpoint& endpoint : endpoints_) {  // what a snapshot lacks was removed
             endpoint.usable = false;
@@ -65,7 +65,7 @@
     });
 }
 
-void EndpointSet::refreshSubset(Time now) {
+void EndpointSet::refreshSubset(TimePoint now) {
     if (now - subsetDrawnAt_ > kSubsetLifetime) rebuildSubset(now);
 }
 
@@ -73,7 +73,7 @@
 // endpoint work and room, a new one costs the request time, and of fewer endpoints each is heard of more
 // often. The parts are arcs of the sorted names, so that each endpoint is in as many as any other; those that
 // are warming up and warm ones have arcs of their own, so that each part has its share of both.
-void EndpointSet::rebuildSubset(Time now) {
+void EndpointSet::rebuildSubset(TimePoint now) {
     subsetDrawnAt_ = now;
     const FleetCapacity previous = std::exchange(capacity_, FleetCapacity{});
     std::vector<Endpoint*> warm;
@@ -107,7 +107,7 @@
         ring[(from + i) % ring.size()]->subsetShare = static_cast<double>(length) / size;
 }
 
-bool EndpointSet::hasServingWarmEndpoint(Time now) const {
+bool EndpointSet::hasServingWarmEndpoint(TimePoint now) const {
     return std::any_of(endpoints_.begin(), endpoints_.end(), [&](const Endpoint& endpoint) {
         return endpoint.usable && !OutlierDetector::isEjected(endpoint, now) &&
                !slowStart_.isWarmingUp(endpoint, now);
--- a/src/decision/endpoint_set.h
+++ b/src/decision/upstream/endpoint_set.h
@@ -6,9 +6,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "decision/concurrency_limiter.h"
-#include "decision/endpoint.h"
-#include "decision/slow_start.h"
+#include "decision/upstream/concurrency_limiter.h"
+#include "decision/upstream/endpoint.h"
+#include "decision/upstream/slow_start.h"
 #include "gateway/settings.h"
 
 namespace gateway {
@@ -20,10 +20,10 @@
         : settings_(settings), slowStart_(slowStart), limiter_(limiter) {}
 
     // Takes in what discovery reported.
-    void apply(const EndpointUpdate& update, Time now);
+    void apply(const EndpointUpdate& update, TimePoint now);
 
     // Draws the subset anew if it is old: some endpoints have warmed up meanwhile.
-    void refreshSubset(Time now);
+    void refreshSubset(TimePoint now);
 
     // An endpoint keeps its slot while it is listed or has an attempt in flight.
     Endpoint& at(std::size_t slot) { return endpoints_[slot]; }
@@ -35,13 +35,13 @@
     const FleetCapacity& capacity() const { return capacity_; }
 
     // Some usable endpoint is neither warming up nor ejected.
-    bool hasServingWarmEndpoint(Time now) const;
+    bool hasServingWarmEndpoint(TimePoint now) const;
 
 private:
     std::size_t slotOf(const EndpointId& name);
     void applyEntry(const EndpointEntry& entry);
     void releaseSlots();
-    void rebuildSubset(Time now);
+    void rebuildSubset(TimePoint now);
     void assignArc(std::vector<Endpoint*>& ring, double share) const;
 
     const Settings& settings_;
@@ -51,7 +51,7 @@
     std::unordered_map<EndpointId, std::size_t> slotByName_;
     std::vector<std::size_t> freeSlots_;
     FleetCapacity capacity_;
-    Time subsetDrawnAt_{};
+    TimePoint subsetDrawnAt_{};
 };
 
 }  // namespace gateway
--- a/src/decision/endpoint_stats.cpp
+++ b/src/decision/upstream/endpoint_stats.cpp
@@ -1,10 +1,10 @@
-#include "decision/endpoint_stats.h"
+#include "decision/upstream/endpoint_stats.h"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-#include "decision/arithmetic.h"
+#include "decision/common/arithmetic.h"
 
 namespace gateway {
 namespace {
@@ -16,7 +16,8 @@
 
 }  // namespace
 
-void EndpointStats::observe(Endpoint& endpoint, const AttemptEnded& ended, std::size_t endpoints, Time now) {
+void EndpointStats::observe(Endpoint& endpoint, const AttemptEnded& ended, std::size_t endpoints,
+                            TimePoint now) {
     EndpointLoad& load = endpoint.load;
     if (ended.report && ended.report->inFlight) {
         const double others = std::max(0.0, *ended.report->inFlight - endpoint.inFlight);
@@ -34,7 +35,7 @@
     endpoint.load.slowness = movingAverage(endpoint.load.slowness, slowness, kSmoothing);
 }
 
-double EndpointStats::freshness(const Endpoint& endpoint, Time now) const {
+double EndpointStats::freshness(const Endpoint& endpoint, TimePoint now) const {
     const double age = toSeconds(now - endpoint.load.observedAt);
     return std::exp(-age / std::max(kFreshSeconds, observationSeconds_));
 }
--- a/src/decision/latency_stats.cpp
+++ b/src/decision/upstream/latency_stats.cpp
@@ -1,8 +1,8 @@
-#include "decision/latency_stats.h"
+#include "decision/upstream/latency_stats.h"
 
 #include <algorithm>
 
-#include "decision/arithmetic.h"
+#include "decision/common/arithmetic.h"
 
 namespace gateway {
 namespace {
@@ -16,7 +16,7 @@
     : settings_(settings), classes_(settings.classes.size()) {}
 
 AttemptSample LatencyStats::observe(const Request& request, const AttemptEnded& ended) {
-    const auto index = static_cast<std::size_t>(request.arrival.requestClass);
+    const auto index = toPosition(request.arrival.requestClass);
     ClassLatency& latency = classes_[index];
     AttemptSample sample;
     sample.seconds = toSeconds(ended.elapsed);
@@ -33,35 +33,35 @@
     return sample;
 }
 
-double LatencyStats::expectedSeconds(int requestClass) const {
-    const auto index = static_cast<std::size_t>(requestClass);
+double LatencyStats::expectedSeconds(RequestClassIndex requestClass) const {
+    const auto index = toPosition(requestClass);
     const double mean = classes_[index].meanSeconds;
     return mean > 0 ? mean : toSeconds(settings_.classes[index].latencyObjective) * kInitialObjectiveShare;
 }
 
-double LatencyStats::relativeWork(int requestClass) const {
+double LatencyStats::relativeWork(RequestClassIndex requestClass) const {
     double work = 0;
     double samples = 0;
     for (const ClassLatency& latency : classes_) {
         work += latency.meanSeconds * latency.samples;
         samples += latency.samples;
     }
-    const double own = classes_[static_cast<std::size_t>(requestClass)].meanSeconds;
+    const double own = classes_[toPosition(requestClass)].meanSeconds;
     return own > 0 && work > 0 ? own * samples / work : 1;
 }
 
-Duration LatencyStats::latencyObjective(int requestClass) const {
-    const RequestClass& terms = settings_.classes[static_cast<std::size_t>(requestClass)];
+Duration LatencyStats::latencyObjective(RequestClassIndex requestClass) const {
+    const RequestClass& terms = settings_.classes[toPosition(requestClass)];
     const double stretch = terms.latencyObjectiveStretch;
     const double stretchSeconds = stretch > 0 ? stretch * expectedSeconds(requestClass) : 0;
     return std::min(terms.latencyObjective + fromSeconds(stretchSeconds),
                     std::max(terms.deadline, terms.latencyObjective));
 }
 
-Duration LatencyStats::timeLeft(const Request& request, Time now) const {
+Duration LatencyStats::timeLeft(const Request& request, TimePoint now) const {
     const RequestArrived& arrival = request.arrival;
-    const RequestClass& terms = settings_.classes[static_cast<std::size_t>(arrival.requestClass)];
-    Time end = arrival.deadline;
+    const RequestClass& terms = settings_.classes[toPosition(arrival.requestClass)];
+    TimePoint end = arrival.deadline;
     if (terms.lateWeight <= 0 && !terms.streamed)
         end = std::min(end, request.arrivedAt + latencyObjective(arrival.requestClass));
     return end - now;
--- a/src/decision/latency_stats.h
+++ b/src/decision/upstream/latency_stats.h
@@ -4,7 +4,7 @@
 #include <cstddef>
 #include <vector>
 
-#include "decision/request_table.h"
+#include "decision/engine/request.h"
 #include "gateway/events.h"
 #include "gateway/settings.h"
 
@@ -36,17 +36,17 @@
     AttemptSample observe(const Request& request, const AttemptEnded& ended);
 
     // Seconds that a request of this class usually takes.
-    double expectedSeconds(int requestClass) const;
+    double expectedSeconds(RequestClassIndex requestClass) const;
 
     // A request's work, in requests of mean work.
-    double relativeWork(int requestClass) const;
+    double relativeWork(RequestClassIndex requestClass) const;
 
     // Until when a response earns its full weight, from the request's arrival.
-    Duration latencyObjective(int requestClass) const;
+    Duration latencyObjective(RequestClassIndex requestClass) const;
 
     // How long an attempt that begins now may take: until the client leaves, or until its response is worth
     // nothing.
-    Duration timeLeft(const Request& request, Time now) const;
+    Duration timeLeft(const Request& request, TimePoint now) const;
 
 private:
     struct ClassLatency {
--- a/src/decision/outlier_detector.cpp
+++ b/src/decision/upstream/outlier_detector.cpp
@@ -1,10 +1,10 @@
-#include "decision/outlier_detector.h"
+#include "decision/upstream/outlier_detector.h"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-#include "decision/arithmetic.h"
+#include "decision/common/arithmetic.h"
 
 namespace gateway {
 namespace {
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-void OutlierDetector::observe(EndpointHealth& health, Outcome outcome, Time now) {
+void OutlierDetector::observe(EndpointHealth& health, Outcome outcome, TimePoint now) {
     switch (outcome) {
         case Outcome::ok:
             health.errorShare = movingAverage(health.errorShare, 0, kErrorSmoothing);
@@ -42,7 +42,7 @@
     }
 }
 
-void OutlierDetector::eject(EndpointHealth& health, Time now) {
+void OutlierDetector::eject(EndpointHealth& health, TimePoint now) {
     if (now < health.ejectedUntil) return;
     const double seconds = kFirstEjectionSeconds * std::exp2(health.consecutiveEjections);
     health.ejectedUntil = now + fromSeconds(std::min(kMaxEjectionSeconds, seconds));
@@ -50,7 +50,7 @@
     health.onProbation = true;
 }
 
-bool OutlierDetector::isEjected(const Endpoint& endpoint, Time now) {
+bool OutlierDetector::isEjected(const Endpoint& endpoint, TimePoint now) {
     const EndpointHealth& health = endpoint.health;
     return now < health.ejectedUntil || (health.onProbation && endpoint.inFlight > 0);
 }
--- a/src/decision/retry_policy.cpp
+++ b/src/decision/upstream/retry_policy.cpp
@@ -1,8 +1,8 @@
-#include "decision/retry_policy.h"
+#include "decision/upstream/retry_policy.h"
 
 #include <algorithm>
 
-#include "decision/arithmetic.h"
+#include "decision/common/arithmetic.h"
 
 namespace gateway {
 namespace {
@@ -15,7 +15,7 @@
     tokens_ = std::min(kMaxTokens, tokens_ + kTokensPerFirstAttempt);
 }
 
-bool RetryPolicy::takeRetry(const Request& request, Time now) {
+bool RetryPolicy::takeRetry(const Request& request, TimePoint now) {
     if (static_cast<int>(request.attempts.size()) >= settings_.maxAttempts || tokens_ < 1) return false;
     if (request.hasAttemptInFlight()) return false;
     const double expected = latency_.expectedSeconds(request.arrival.requestClass);
@@ -26,21 +26,21 @@
     return true;
 }
 
-bool RetryPolicy::isRepeatHarmless(const Request& request, Time now) const {
+bool RetryPolicy::isRepeatHarmless(const Request& request, TimePoint now) const {
     if (classOf(request).idempotency == Idempotency::safe) return true;
     if (!request.possibleRun) return !request.hasAttemptInFlight();
     return classOf(request).deduplicationScope == DeduplicationScope::all &&
            isWithinIdempotencyWindow(request, now);
 }
 
-Duration RetryPolicy::beginWithin(const Request& request, Time now) const {
+Duration RetryPolicy::beginWithin(const Request& request, TimePoint now) const {
     const RequestClass& terms = classOf(request);
     if (!request.possibleRun || terms.idempotency != Idempotency::withKey) return Duration{};
     return request.possibleRun->since + terms.idempotencyWindow - now;
 }
 
 // Endpoints drop a repeat of the request, which may have run.
-bool RetryPolicy::isWithinIdempotencyWindow(const Request& request, Time now) const {
+bool RetryPolicy::isWithinIdempotencyWindow(const Request& request, TimePoint now) const {
     const RequestClass& terms = classOf(request);
     return terms.idempotency == Idempotency::withKey &&
            now < request.possibleRun->since + terms.idempotencyWindow;
--- a/src/decision/retry_policy.h
+++ b/src/decision/upstream/retry_policy.h
@@ -1,8 +1,8 @@
 // When a request may be sent once more: here by a further attempt, or by its client after a rejection.
 #pragma once
 
-#include "decision/latency_stats.h"
-#include "decision/request_table.h"
+#include "decision/engine/request.h"
+#include "decision/upstream/latency_stats.h"
 #include "gateway/settings.h"
 
 namespace gateway {
@@ -17,20 +17,20 @@
     void onFirstAttempt();
 
     // Whether the request, whose latest attempt has failed, gets another one. Spends from the budget if so.
-    bool takeRetry(const Request& request, Time now);
+    bool takeRetry(const Request& request, TimePoint now);
 
     // Whether the client may repeat the request at no risk of a duplicate effect.
-    bool isRepeatHarmless(const Request& request, Time now) const;
+    bool isRepeatHarmless(const Request& request, TimePoint now) const;
 
     // For how long from now another attempt may begin; 0: no such limit.
-    Duration beginWithin(const Request& request, Time now) const;
+    Duration beginWithin(const Request& request, TimePoint now) const;
 
 private:
     static constexpr double kMaxTokens = 10;  // further attempts that may be saved up
 
-    bool isWithinIdempotencyWindow(const Request& request, Time now) const;
+    bool isWithinIdempotencyWindow(const Request& request, TimePoint now) const;
     const RequestClass& classOf(const Request& request) const {
-        return settings_.classes[static_cast<std::size_t>(request.arrival.requestClass)];
+        return settings_.classes[toPosition(request.arrival.requestClass)];
     }
 
     const Settings& settings_;
--- a/src/decision/slow_start.cpp
+++ b/src/decision/upstream/slow_start.cpp
@@ -1,9 +1,9 @@
-#include "decision/slow_start.h"
+#include "decision/upstream/slow_start.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "decision/arithmetic.h"
+#include "decision/common/arithmetic.h"
 
 namespace gateway {
 namespace {
@@ -18,8 +18,8 @@
 
 }  // namespace
 
-double SlowStart::capacityShare(const EndpointEntry& entry, Time now) const {
-    if (entry.startedAt <= Time{} || settings_.slowStartDuration <= Duration{}) return 1;
+double SlowStart::capacityShare(const EndpointEntry& entry, TimePoint now) const {
+    if (entry.startedAt <= TimePoint{} || settings_.slowStartDuration <= Duration{}) return 1;
     const double age = toSeconds(now - entry.startedAt) / toSeconds(settings_.slowStartDuration);
     const double initial = settings_.slowStartInitialShare;
     return age >= 1 ? 1 : initial + (1 - initial) * std::max(age, 0.0);
@@ -58,19 +58,19 @@
     return endpoint.subsetShare > 0 && endpoint.slowStart.tokens >= 1;
 }
 
-void SlowStart::observe(const Endpoint& endpoint, const AttemptSample& sample, Time now) {
+void SlowStart::observe(const Endpoint& endpoint, const AttemptSample& sample, TimePoint now) {
     if (!sample.overloaded && !sample.served) return;
     double& slowShare = isWarmingUp(endpoint, now) ? slowShareWarmingUp_ : slowShareWarm_;
     slowShare = movingAverage(slowShare, sample.overloaded ? 1 : 0, kSlowShareSmoothing);
 }
 
-void SlowStart::noteServed(const Endpoint& endpoint, double relativeWork, Time now) {
+void SlowStart::noteServed(const Endpoint& endpoint, double relativeWork, TimePoint now) {
     servedAt_ = now;
     if (endpoint.usable) servedWork_ += relativeWork;
 }
 
 // Nothing is served and no endpoint is warm: then what is asked for has to tell, though it may be too much.
-void SlowStart::noteUnserved(double relativeWork, Time now) {
+void SlowStart::noteUnserved(double relativeWork, TimePoint now) {
     if (now - servedAt_ > settings_.overloadWindow / kUnservedWindowPart)
         servedWork_ += kUnservedCredit * relativeWork;
 }
--- a/src/decision/slow_start.h
+++ b/src/decision/upstream/slow_start.h
@@ -7,9 +7,9 @@
 // drawn by each alone it would add up to a Poisson spread.
 #pragma once
 
-#include "decision/endpoint.h"
-#include "decision/endpoint_stats.h"
-#include "decision/latency_stats.h"
+#include "decision/upstream/endpoint.h"
+#include "decision/upstream/endpoint_stats.h"
+#include "decision/upstream/latency_stats.h"
 #include "gateway/settings.h"
 
 namespace gateway {
@@ -27,8 +27,8 @@
     SlowStart(const Settings& settings, const EndpointStats& stats) : settings_(settings), stats_(stats) {}
 
     // The share of its full capacity that an endpoint has, above 0 up to 1.
-    double capacityShare(const EndpointEntry& entry, Time now) const;
-    bool isWarmingUp(const Endpoint& endpoint, Time now) const {
+    double capacityShare(const EndpointEntry& entry, TimePoint now) const;
+    bool isWarmingUp(const Endpoint& endpoint, TimePoint now) const {
         return capacityShare(endpoint.entry, now) < 1;
     }
 
@@ -45,13 +45,13 @@
     static void spend(Endpoint& endpoint, double relativeWork) { endpoint.slowStart.tokens -= relativeWork; }
 
     // Learns from an attempt that ended.
-    void observe(const Endpoint& endpoint, const AttemptSample& sample, Time now);
+    void observe(const Endpoint& endpoint, const AttemptSample& sample, TimePoint now);
 
     // An endpoint answered a request of this work with success.
-    void noteServed(const Endpoint& endpoint, double relativeWork, Time now);
+    void noteServed(const Endpoint& endpoint, double relativeWork, TimePoint now);
 
     // No endpoint could take a request of this work, and none of them is warm.
-    void noteUnserved(double relativeWork, Time now);
+    void noteUnserved(double relativeWork, TimePoint now);
 
 private:
     double budgetMultiple(const FleetCapacity& fleet) const;
@@ -61,7 +61,7 @@
     double servedWork_ = 0;          // by usable endpoints, in requests of mean work
     double slowShareWarm_ = 0;       // share of slow responses of warm endpoints
     double slowShareWarmingUp_ = 0;  // and of those that are warming up
-    Time servedAt_{};                // the latest success
+    TimePoint servedAt_{};           // the latest success
 };
 
 }  // namespace gateway
--- a/src/net/client/arrival_log.h
+++ b/src/net/client/arrival_log.h
@@ -14,7 +14,7 @@
 class ArrivalLog {
 public:
     // Bytes have come; `unconsumed` of all that came are not consumed yet.
-    void noteArrival(std::uint64_t unconsumed, Time now) {
+    void noteArrival(std::uint64_t unconsumed, TimePoint now) {
         if (noted_ == consumed_) arrivals_.clear();
         if (arrivals_.empty() || now - arrivals_.back().second > kResolution)
             arrivals_.emplace_back(noted_, now);
@@ -24,7 +24,7 @@
     void consume(std::uint64_t bytes) { consumed_ += bytes; }
 
     // When the first byte that is not consumed came. At least one such must have been noted.
-    Time arrivalOfNext() {
+    TimePoint arrivalOfNext() {
         while (arrivals_.size() > 1 && arrivals_[1].first <= consumed_) arrivals_.erase(arrivals_.begin());
         return arrivals_.front().second;
     }
@@ -33,7 +33,7 @@
     static constexpr Duration kResolution = std::chrono::milliseconds(10);  // came together, if so close
 
     // Moments, each with the number of bytes that came before it; those that are consumed now in front.
-    std::vector<std::pair<std::uint64_t, Time>> arrivals_;
+    std::vector<std::pair<std::uint64_t, TimePoint>> arrivals_;
     std::uint64_t consumed_ = 0;
     std::uint64_t noted_ = 0;
 };
--- a/src/net/client/client_request.cpp
+++ b/src/net/client/client_request.cpp
@@ -114,7 +114,7 @@
 }
 
 // A client that would wait for hours holds its id and its place no longer than its class's usual ones.
-bool readDeadline(string_view text, const RequestClass& terms, Time startedAt, RequestArrived& arrival) {
+bool readDeadline(string_view text, const RequestClass& terms, TimePoint startedAt, RequestArrived& arrival) {
     const auto patience = parseInteger<std::uint32_t>(text);
     if (!patience || *patience == 0) return false;
     const Duration most = kMaxDeadlines * terms.deadline;
@@ -137,7 +137,7 @@
 }  // namespace
 
 std::variant<ClientRequest, RequestError> parseClientRequest(const HttpRequest& message,
-                                                             const RequestRules& rules, Time startedAt) {
+                                                             const RequestRules& rules, TimePoint startedAt) {
     const auto path = firstSegment(message.target());
     if (!path) return RequestError{kBadRequest, "target"};
     const int pathClass = positionOf(*path, rules.classNames);
@@ -148,10 +148,12 @@
         return RequestError{kMethodNotAllowed, "method"};
     ClientRequest request;
     RequestArrived& arrival = request.arrival;
-    arrival.requestClass = positionOf(message["Request-Class"], rules.classNames);
-    if (arrival.requestClass != pathClass) return RequestError{kBadRequest, "Request-Class"};
-    arrival.plan = positionOf(message["X-Contract"], rules.planNames);
-    if (arrival.plan < 0) return RequestError{kBadRequest, "X-Contract"};
+    if (positionOf(message["Request-Class"], rules.classNames) != pathClass)
+        return RequestError{kBadRequest, "Request-Class"};
+    arrival.requestClass = RequestClassIndex{pathClass};
+    const int plan = positionOf(message["X-Contract"], rules.planNames);
+    if (plan < 0) return RequestError{kBadRequest, "X-Contract"};
+    arrival.plan = QuotaPlanIndex{plan};
     const string_view id = message["Request-Id"];
     if (id.empty() || id.size() > kMaxIdBytes) return RequestError{kBadRequest, "Request-Id"};
     if (!readTenant(message["X-Client-Id"], arrival)) return RequestError{kBadRequest, "X-Client-Id"};
--- a/src/net/client/client_request.h
+++ b/src/net/client/client_request.h
@@ -40,7 +40,7 @@
 // Nothing goes to an endpoint that no client sent in this form: all that is odd is an error. `startedAt` is
 // when the request began to come.
 std::variant<ClientRequest, RequestError> parseClientRequest(const HttpRequest& message,
-                                                             const RequestRules& rules, Time startedAt);
+                                                             const RequestRules& rules, TimePoint startedAt);
 
 // Where the body ends depends on who reads the head: it could hide another request.
 bool hasAmbiguousLength(const HttpRequest& message);
--- a/src/net/client/client_session.cpp
+++ b/src/net/client/client_session.cpp
@@ -33,7 +33,7 @@
     resetParser();
 }
 
-Duration ClientSession::stuckFor(Time now) const {
+Duration ClientSession::stuckFor(TimePoint now) const {
     if (busy_ || lingering_) return {};
     if (!allWritten()) return now - answeredAt_;
     return partial_ ? now - (isFresh() ? acceptedAt_ : begunAt_) : Duration{};
--- a/src/net/client/client_session.h
+++ b/src/net/client/client_session.h
@@ -67,7 +67,7 @@
 
     // How long it is that a request is coming, the first one since the connection came, or that a response
     // waits to be taken by the client. 0 where neither is so.
-    Duration stuckFor(Time now) const;
+    Duration stuckFor(TimePoint now) const;
 
     // When it was last heard of, or answered.
     std::chrono::steady_clock::time_point activeAt() const { return activeAt_; }
@@ -100,10 +100,10 @@
     ArrivalLog arrivals_;
     RequestId request_;  // in hand
     std::string output_;
-    Time acceptedAt_;
-    Time startedAt_{};   // when the request in hand began to come
-    Time begunAt_{};     // when it was turned to
-    Time answeredAt_{};  // when a response that had to wait was written
+    TimePoint acceptedAt_;
+    TimePoint startedAt_{};   // when the request in hand began to come
+    TimePoint begunAt_{};     // when it was turned to
+    TimePoint answeredAt_{};  // when a response that had to wait was written
     std::chrono::steady_clock::time_point activeAt_ = std::chrono::steady_clock::now();
     std::uint64_t responses_ = 0;
     bool left_ = false;
--- a/src/net/discovery/endpoint_list.cpp
+++ b/src/net/discovery/endpoint_list.cpp
@@ -22,11 +22,11 @@
                                                                 {"terminated", Availability::removed}});
     if (entry.availability != Availability::removed || fields.has("address"))
         endpoint.address = parseAddress(fields.text("address"), "address");
-    if (fields.has("zone")) entry.zone = positionOf(fields.text("zone"), words.zones);
-    if (fields.has("type")) entry.kind = positionOf(fields.text("type"), words.kinds);
-    entry.cell = fields.integer("group", 0);
+    if (fields.has("zone")) entry.zone = ZoneId{positionOf(fields.text("zone"), words.zones)};
+    if (fields.has("type")) entry.kind = MachineKind{positionOf(fields.text("type"), words.kinds)};
+    entry.cell = CellId{fields.integer("group", 0)};
     entry.weight = fields.number("weight", 1);
-    entry.startedAt = Time(std::llround(fields.number("since_ms", 0) * 1e3));
+    entry.startedAt = TimePoint(Duration(std::llround(fields.number("since_ms", 0) * 1e3)));
     return endpoint;
 }
 
--- a/src/net/discovery/poll_schedule.h
+++ b/src/net/discovery/poll_schedule.h
@@ -30,9 +30,9 @@
           count_(std::max(gatewayCount, 1)) {}
 
     // The first own moment after `now`: more than 0 and at most `period` away.
-    Duration until(Time now, Duration period) const {
+    Duration until(TimePoint now, Duration period) const {
         const Duration own = period * index_ / count_;
-        const Duration past = (now - own) % period;
+        const Duration past = (now.time_since_epoch() - own) % period;
         return past < Duration::zero() ? -past : period - past;
     }
 
@@ -59,19 +59,19 @@
     }
 
     // Counted from a call's own beginning, not from when it is given up.
-    Duration afterBegin(Time now) const { return polls() ? slot(now, usual_) : kMaxConnectTime; }
+    Duration afterBegin(TimePoint now) const { return polls() ? slot(now, usual_) : kMaxConnectTime; }
     // The connection is up and the request written.
-    Duration afterRequest(Time now) const { return polls() ? slot(now, usual_) : kMaxSilence; }
+    Duration afterRequest(TimePoint now) const { return polls() ? slot(now, usual_) : kMaxSilence; }
     // Refused, turned away, broken, or answered with what can't be read.
-    Duration afterEnd(Time now) {
+    Duration afterEnd(TimePoint now) {
         if (!polls()) return backoff_.next();
         return slot(now, now < urgentUntil_ ? urgentPeriod_ : usual_);
     }
     // 2.3 s of its term have passed since its last word.
-    Duration afterSilence(Time now) {
+    Duration afterSilence(TimePoint now) {
         return polls() ? urgent(now, kUpdateDeadline - kMaxSilence, kSilentPeriod) : Duration::zero();
     }
-    Duration afterReload(Time now) {
+    Duration afterReload(TimePoint now) {
         backoff_.reset();
         return polls() ? urgent(now, kReloadDeadline, kReloadPeriod) : Duration::zero();
     }
@@ -80,7 +80,7 @@
     // A list was reported.
     void onAnswer() {
         backoff_.reset();
-        urgentUntil_ = Time::min();
+        urgentUntil_ = TimePoint::min();
     }
 
 private:
@@ -94,16 +94,18 @@
         : slots_(slots), usual_(usual), backoff_(kBackoffInitial, kBackoffMax, seed) {}
     bool polls() const { return usual_ > Duration::zero(); }
     // Also one that is turned away comes again so soon while the term lasts.
-    Duration urgent(Time now, Duration term, Duration period) {
+    Duration urgent(TimePoint now, Duration term, Duration period) {
         urgentUntil_ = now + term;
         urgentPeriod_ = period;
         return slot(now, period);
     }
-    Duration slot(Time now, Duration period) const { return slots_.until(now, std::min(period, usual_)); }
+    Duration slot(TimePoint now, Duration period) const {
+        return slots_.until(now, std::min(period, usual_));
+    }
 
     PollSlots slots_;
     Duration usual_;  // period; 0: push
-    Time urgentUntil_ = Time::min();
+    TimePoint urgentUntil_ = TimePoint::min();
     Duration urgentPeriod_{};
     Backoff backoff_;
 };
--- a/src/net/transport/clock.h
+++ b/src/net/transport/clock.h
@@ -11,14 +11,15 @@
 // since the names of slices on the counter and the endpoints' starts are counted in it.
 class Clock {
 public:
-    Time now() const { return at(std::chrono::steady_clock::now()); }
-    Time at(std::chrono::steady_clock::time_point t) const {
+    TimePoint now() const { return at(std::chrono::steady_clock::now()); }
+    TimePoint at(std::chrono::steady_clock::time_point t) const {
         return base_ + std::chrono::duration_cast<Duration>(t - start_);
     }
 
 private:
     std::chrono::steady_clock::time_point start_ = std::chrono::steady_clock::now();
-    Time base_ = std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch());
+    TimePoint base_{
+        std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch())};
 };
 
 }  // namespace gateway::net
--- a/src/net/upstream/upstream_pool.h
+++ b/src/net/upstream/upstream_pool.h
@@ -57,7 +57,7 @@
 
     struct Endpoint {
         tcp::endpoint address;
-        Time startedAt{};
+        TimePoint startedAt{};
         Moment leavingSince = Moment::max();  // discovery reported that it drains or was removed
         Moment heardAt{};                     // its latest response
         std::vector<ConnectionPtr> idle;      // the one used last at the back
--- a/src/settings/json_fields.h
+++ b/src/settings/json_fields.h
@@ -89,6 +89,12 @@
     Duration seconds(const char* key) const { return toDuration(number(key)); }
     Duration seconds(const char* key, double otherwise) const { return toDuration(number(key, otherwise)); }
 
+    // A number of seconds since the epoch of the fleet's clock.
+    TimePoint timePoint(const char* key) const { return TimePoint(seconds(key)); }
+    TimePoint timePoint(const char* key, double otherwise) const {
+        return TimePoint(seconds(key, otherwise));
+    }
+
     Fields object(const char* key) const { return Fields(need(key), path_ + "." + key); }
 
     // Calls `visit` with each object of a list.
--- a/src/settings/settings_json.cpp
+++ b/src/settings/settings_json.cpp
@@ -76,7 +76,7 @@
         fields.each("contracts", [&](const Fields& item) { settings.plans.push_back(readPlan(item)); });
     settings.gatewayIndex = fields.integer("me", 0);
     settings.gatewayCount = fields.integer("balancers");
-    settings.zone = fields.integer("locality", 0);
+    settings.zone = ZoneId{fields.integer("locality", 0)};
     if (fields.has("discovery"))
         settings.discovery = fields.choice<DiscoveryMode>(
             "discovery", {{"push", DiscoveryMode::push}, {"ask", DiscoveryMode::poll}});
--- a/src/simulator/wire_reader.cpp
+++ b/src/simulator/wire_reader.cpp
@@ -46,10 +46,10 @@
     entry.availability = fields.choice<Availability>(
         "availability",
         {{"IN", Availability::up}, {"LAME", Availability::draining}, {"OUT", Availability::removed}});
-    entry.startedAt = fields.seconds("cameUpS", 0);
-    entry.cell = fields.integer("cohort", 0);
-    entry.kind = fields.integer("model", 0);
-    entry.zone = fields.integer("area", 0);
+    entry.startedAt = fields.timePoint("cameUpS", 0);
+    entry.cell = CellId{fields.integer("cohort", 0)};
+    entry.kind = MachineKind{fields.integer("model", 0)};
+    entry.zone = ZoneId{fields.integer("area", 0)};
     entry.weight = fields.number("weight", 1);
     return entry;
 }
@@ -68,10 +68,10 @@
 RequestArrived readRequest(const Fields& fields) {
     RequestArrived arrival;
     arrival.request = readRequestId(fields);
-    arrival.requestClass = fields.integer("priority", 0);
-    arrival.plan = fields.integer("contract", 0);
+    arrival.requestClass = RequestClassIndex{fields.integer("priority", 0)};
+    arrival.plan = QuotaPlanIndex{fields.integer("contract", 0)};
     if (fields.has("account")) arrival.tenant = TenantId{fields.unsignedInteger("account")};
-    arrival.deadline = fields.seconds("notAfterS");
+    arrival.deadline = fields.timePoint("notAfterS");
     arrival.cost = fields.number("units", 1);
     arrival.entryPoints = fields.integer("entryPoints", 1);
     arrival.isRetry = fields.flag("isRetry");
