--- a/src/decision/common/random_source.h
+++ b/src/decision/common/random_source.h
@@ -4,15 +4,18 @@
 #include <cstdint>
 #include <random>
 
+#include "decision/common/unit_interval.h"
+
 namespace gateway {
 
-// Draws follow from the seed alone, on every platform: std::uniform_real_distribution would not.
+// The draws depend on the seed alone, on every platform. std::uniform_real_distribution does not guarantee
+// that.
 class RandomSource {
 public:
     explicit RandomSource(std::uint64_t seed) : generator_(seed) {}
 
-    // The next draw, evenly from 0 up to 1.
-    double next() { return static_cast<double>(generator_() >> 11) * 0x1.0p-53; }
+    // The next draw, uniform in [0, 1).
+    double next() { return toUnitInterval(generator_()); }
 
 private:
     std::mt19937_64 generator_;
--- /dev/null
+++ b/src/decision/engine/attempt_dispatcher.cpp
@@ -0,0 +1,62 @@
+#include "decision/engine/attempt_dispatcher.h"
+
+#include <optional>
+
+#include "decision/upstream/outlier_detector.h"
+
+namespace gateway {
+
+AttemptDispatcher::AttemptDispatcher(LatencyStats& latency, EndpointStats& stats, SlowStart& slowStart,
+                                     ConcurrencyLimiter& limiter, EndpointSet& endpoints,
+                                     EndpointPicker& picker, RetryPolicy& retries)
+    : latency_(latency),
+      stats_(stats),
+      slowStart_(slowStart),
+      limiter_(limiter),
+      endpoints_(endpoints),
+      picker_(picker),
+      retries_(retries) {}
+
+bool AttemptDispatcher::trySend(EventContext& context, Request& request) {
+    const Duration timeout = latency_.timeLeft(request, context.now);
+    const double work = latency_.relativeWork(request.arrival.requestClass);
+    std::optional<std::size_t> slot;
+    if (timeout > Duration{} && limiter_.hasCapacity(context.random))
+        slot = picker_.pick(request, work, context.now, context.random);
+    if (!slot) return false;
+
+    Endpoint& endpoint = endpoints_.at(*slot);
+    if (request.attempts.empty()) retries_.onFirstAttempt();
+    request.attempts.push_back({*slot, context.now, false});
+    limiter_.begin(endpoint);
+    SlowStart::spend(endpoint, work);
+    const Duration beginWithin = retries_.beginWithin(request, context.now);
+    context.act(SendAttempt{request.arrival.request, endpoint.entry.endpoint, timeout, beginWithin});
+    return true;
+}
+
+void AttemptDispatcher::recordEnd(Request& request, const AttemptEnded& ended, TimePoint now) {
+    Attempt& attempt = request.attempts[static_cast<std::size_t>(ended.attempt)];
+    attempt.ended = true;
+    Endpoint& endpoint = endpoints_.at(attempt.endpointSlot);
+    limiter_.end(endpoint);
+    observe(request, ended, endpoint, now);
+    if (!provesNeverRan(ended.outcome) && !request.possibleRun)
+        request.possibleRun = PossibleRun{endpoint.entry.zone, endpoint.entry.cell, attempt.sentAt};
+}
+
+void AttemptDispatcher::observe(const Request& request, const AttemptEnded& ended, Endpoint& endpoint,
+                                TimePoint now) {
+    stats_.observe(endpoint, ended, endpoints_.listed(), now);
+    const AttemptSample sample = latency_.observe(request, ended);
+    EndpointStats::observeLatency(endpoint, sample);
+    limiter_.observe(sample, ended.outcome);
+    slowStart_.observe(endpoint, sample, now);
+    ConcurrencyLimiter::observe(endpoint, sample, now);
+    endpoint.load.observedAt = now;
+    if (ended.outcome == Outcome::ok)
+        slowStart_.noteServed(endpoint, latency_.relativeWork(request.arrival.requestClass), now);
+    OutlierDetector::observe(endpoint.health, ended.outcome, now);
+}
+
+}  // namespace gateway
--- /dev/null
+++ b/src/decision/engine/endpoint_watch.cpp
@@ -0,0 +1,43 @@
+#include "decision/engine/endpoint_watch.h"
+
+#include <algorithm>
+#include <chrono>
+
+namespace gateway {
+namespace {
+
+// Tries within the longest poll interval while discovery can't be reached.
+constexpr int kRetriesPerPollInterval = 8;
+constexpr Duration kMinRetryDelay = std::chrono::milliseconds(200);
+
+}  // namespace
+
+EndpointWatch::EndpointWatch(const Settings& settings, EndpointSet& endpoints, ConcurrencyLimiter& limiter)
+    : settings_(settings), endpoints_(endpoints), limiter_(limiter) {}
+
+void EndpointWatch::onEndpointUpdate(EventContext& context, const EndpointUpdate& update) {
+    if (update.kind == UpdateKind::failed) {
+        scheduleRetry(context);
+        return;
+    }
+    if (settings_.discovery == DiscoveryMode::poll) startOnce(context);
+    endpoints_.apply(update, context.now);
+    limiter_.onEndpointSet(endpoints_.listed());
+}
+
+void EndpointWatch::onRetryDue(EventContext& context) {
+    context.act(WatchEndpoints{});
+}
+
+void EndpointWatch::scheduleRetry(EventContext& context) const {
+    const Duration delay = settings_.maxPollInterval / kRetriesPerPollInterval;
+    context.setTimer(DiscoveryRetryDue{}, std::max(delay, kMinRetryDelay));
+}
+
+void EndpointWatch::startOnce(EventContext& context) {
+    if (started_) return;
+    started_ = true;
+    context.act(WatchEndpoints{});
+}
+
+}  // namespace gateway
--- a/src/decision/engine/event_context.h
+++ b/src/decision/engine/event_context.h
@@ -1,4 +1,4 @@
-// What the parts of the decision module share while one event is handled.
+// What the modules of the decision engine share while one event is handled.
 #pragma once
 
 #include "decision/common/random_source.h"
@@ -8,14 +8,19 @@
 
 namespace gateway {
 
+// Lives as long as the handling of one event. Does not own what it refers to.
 struct EventContext {
-    TimePoint now;
-    Actions& actions;  // what is to be done, in order
+    TimePoint now;              // when the event happens
+    TimePoint engineStartedAt;  // when the engine handled its first event
+    Actions& actions;           // appended to in the order in which they are to be done
     RandomSource& random;
     TimerTable& timers;
 
-    void act(Action action) const { actions.push_back(std::move(action)); }
-    void setTimer(const Timer& timer, Duration after) const { timers.set(timer, after, actions); }
+    // Appends an action.
+    void act(Action action) const;
+
+    // Appends the action that starts a timer.
+    void setTimer(const Timer& timer, Duration after) const;
 };
 
 }  // namespace gateway
--- a/src/decision/engine/request.h
+++ b/src/decision/engine/request.h
@@ -1,7 +1,6 @@
-// A request in flight and its attempts. State alone; nothing is decided here.
+// A request in flight and its attempts.
 #pragma once
 
-#include <algorithm>
 #include <cstddef>
 #include <optional>
 #include <vector>
@@ -12,24 +11,26 @@
 
 namespace gateway {
 
-// What an attempt's end says for certain, by the protocol.
-inline bool provesNeverRan(Outcome outcome) {
-    return outcome == Outcome::rejected || outcome == Outcome::connectFailed || outcome == Outcome::notSent;
-}
+// Whether the outcome proves that the endpoint did not execute the request.
+bool provesNeverRan(Outcome outcome);
 
+// One forwarding of a request to an endpoint.
 struct Attempt {
-    std::size_t endpointSlot = 0;
+    std::size_t endpointSlot = 0;  // in the endpoint set
     TimePoint sentAt{};
     bool ended = false;
 };
 
-// The first attempt that may have run: a repeat must reach an endpoint that drops it.
+// The earliest attempt that may have been executed. A retry must reach an endpoint that recognizes it as a
+// repeat of this attempt.
 struct PossibleRun {
     ZoneId zone{};
     CellId cell{};
-    TimePoint since{};
+    TimePoint since{};  // when the attempt was sent
 };
 
+// Invariants: attempts are numbered in the order in which they were sent; a request that is closed gets no
+// further attempt and no second final answer.
 struct Request {
     RequestKey key = RequestKey::none;
     RequestArrived arrival;
@@ -37,15 +38,13 @@
     QuotaCharge charge;
     std::vector<Attempt> attempts;
     std::optional<PossibleRun> possibleRun;
-    bool decided = false;          // admitted or rejected
-    bool closed = false;           // it has its final answer, or its client left
+    bool decided = false;          // the quota admitted or rejected it, or its client disconnected before
+    bool closed = false;           // it has its final answer, or its client disconnected
     bool streaming = false;        // its response has begun
-    bool reachedEndpoint = false;  // or its plan's ceiling counts it as if
+    bool reachedEndpoint = false;  // its cost is due; under a ceiling, from the first attempt that was sent
 
-    bool mayHaveRun() const { return possibleRun.has_value(); }
-    bool hasAttemptInFlight() const {
-        return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return !a.ended; });
-    }
+    // Whether an attempt has not ended yet.
+    bool hasAttemptInFlight() const;
 };
 
 }  // namespace gateway
--- a/src/decision/engine/request_key.h
+++ b/src/decision/engine/request_key.h
@@ -1,11 +1,11 @@
-// The key under which the decision module keeps a request.
+// The key under which the decision engine keeps a request.
 #pragma once
 
 #include <cstdint>
 
 namespace gateway {
 
-// Numbers a request; unlike a client's id it never comes twice.
+// Chosen by the engine. Unlike the id that a client chose, a key is never used twice.
 enum class RequestKey : std::uint64_t { none = 0 };
 
 }  // namespace gateway
--- /dev/null
+++ b/src/decision/engine/request_lifecycle.cpp
@@ -0,0 +1,206 @@
+#include "decision/engine/request_lifecycle.h"
+
+#include <algorithm>
+#include <cstddef>
+
+#include "decision/common/arithmetic.h"
+
+namespace gateway {
+namespace {
+
+// Share of the latency objective that a request waits for the counter at most.
+constexpr double kMaxCounterWaitShare = 0.1;
+
+// Share of a class's expected time that must be left to the client for an attempt to make sense.
+constexpr double kMinRemainingTimeShare = 0.3;
+
+}  // namespace
+
+RequestLifecycle::RequestLifecycle(const Settings& settings, RequestTable& requests, const Quota& quota,
+                                   const Upstream& upstream)
+    : settings_(settings),
+      requests_(requests),
+      tenants_(quota.tenants),
+      usage_(quota.usage),
+      ledger_(quota.ledger),
+      admission_(quota.admission),
+      latency_(upstream.latency),
+      retries_(upstream.retries),
+      attempts_(upstream.attempts) {}
+
+// ---- Admission ------------------------------------------------------------------------------------
+
+void RequestLifecycle::onRequestArrived(EventContext& context, const RequestArrived& arrival) {
+    Request& request = requests_.add(arrival, context.now);
+    // The counter is not called for a client that is about to give up: its reply would come too late.
+    if (!hasTimeToBeServed(request, context.now)) {
+        answerUnserved(context, request, Duration{});
+    } else if (planOf(request) == nullptr) {
+        forward(context, request);
+    } else {
+        startAdmission(context, request);
+    }
+}
+
+void RequestLifecycle::startAdmission(EventContext& context, Request& request) {
+    switch (admission_.start(context, request)) {
+        case QuotaAdmission::Start::rejected:
+            answerUnserved(context, request, admission_.retryAfter(context, request));
+            break;
+        case QuotaAdmission::Start::decideNow:
+            decide(context, request);
+            break;
+        case QuotaAdmission::Start::waiting:
+            waitForCounter(context, request);
+            break;
+    }
+}
+
+void RequestLifecycle::waitForCounter(EventContext& context, const Request& request) {
+    const Duration untilDeadline = request.arrival.deadline - context.now;
+    const Duration maxWait = std::min(settings_.counterTimeout, untilDeadline / 2);
+    const Duration objective = latency_.latencyObjective(request.arrival.requestClass);
+    const Duration wait = fromSeconds(toSeconds(objective) * kMaxCounterWaitShare);
+    context.setTimer(CounterWaitOver{request.key}, std::min(maxWait, wait));
+}
+
+void RequestLifecycle::onCounterReplied(EventContext& context, const CounterReplied& reply) {
+    const CounterLedger::ReplyResult result = ledger_.onReply(context, reply);
+    recordAwaitedReply(context, result.charged, result.ok);
+    for (const RequestKey reader : result.readers) recordAwaitedReply(context, reader, result.ok);
+    ledger_.afterReply(context, result);
+}
+
+void RequestLifecycle::recordAwaitedReply(EventContext& context, RequestKey key, bool ok) {
+    Request* request = requests_.find(key);
+    if (request == nullptr || request->decided) return;
+    --request->charge.pendingReplies;
+    if (request->charge.pendingReplies <= 0 || !ok) decide(context, *request);
+}
+
+void RequestLifecycle::onCounterWaitOver(EventContext& context, const CounterWaitOver& timer) {
+    Request* request = requests_.find(timer.request);
+    if (request != nullptr && !request->decided) decide(context, *request);
+}
+
+void RequestLifecycle::decide(EventContext& context, Request& request) {
+    request.decided = true;
+    const QuotaAdmission::Decision decision = admission_.decide(context, request, context.engineStartedAt);
+    if (decision.admitted) {
+        forward(context, request);
+    } else {
+        answerUnserved(context, request, decision.retryAfter);
+    }
+}
+
+// ---- Attempts -------------------------------------------------------------------------------------
+
+void RequestLifecycle::forward(EventContext& context, Request& request) {
+    if (attempts_.trySend(context, request)) {
+        Tenant* tenant = tenants_.find(request.arrival.tenant);
+        if (tenant != nullptr) ++tenant->inFlight;
+        return;
+    }
+    if (!request.reachedEndpoint) ledger_.refundUnsent(context, request);
+    answerUnserved(context, request, expectedTime(request));
+}
+
+void RequestLifecycle::onStreamStarted(const StreamStarted& started) {
+    Request* request = requests_.find(started.request);
+    if (request != nullptr) request->streaming = true;
+}
+
+void RequestLifecycle::onAttemptEnded(EventContext& context, const AttemptEnded& ended) {
+    Request* request = requests_.find(ended.request);
+    const auto position = static_cast<std::size_t>(ended.attempt);
+    if (request == nullptr || ended.attempt < 0 || position >= request->attempts.size()) return;
+    if (request->attempts[position].ended) return;
+
+    Tenant* tenant = tenants_.find(request->arrival.tenant);
+    if (tenant != nullptr) --tenant->inFlight;
+    attempts_.recordEnd(*request, ended, context.now);
+    recordReached(*request, ended.outcome);
+    settleCost(context, *request, ended, tenant);
+    if (ended.closed) request->closed = true;
+
+    if (!request->closed && retries_.takeRetry(*request, context.now)) {
+        forward(context, *request);
+        return;
+    }
+    if (!request->reachedEndpoint && !request->hasAttemptInFlight()) ledger_.refundUnsent(context, *request);
+    if (request->closed) {
+        requests_.eraseIfDone(*request);
+    } else {
+        answerUnserved(context, *request, expectedTime(*request));
+    }
+}
+
+// A quota counts a request that reached an endpoint; a ceiling counts it as soon as an attempt was sent.
+void RequestLifecycle::recordReached(Request& request, Outcome outcome) const {
+    const QuotaPlan* plan = planOf(request);
+    const bool hasCeiling = plan != nullptr && plan->ceilingRate > 0;
+    const bool neverConnected = outcome == Outcome::connectFailed && !hasCeiling;
+    if (outcome != Outcome::notSent && !neverConnected) request.reachedEndpoint = true;
+}
+
+void RequestLifecycle::settleCost(EventContext& context, Request& request, const AttemptEnded& ended,
+                                  Tenant* tenant) {
+    if (tenant == nullptr) return;
+    if (ended.meteredPercent) usage_.noteMeter(*tenant, *ended.meteredPercent);
+    if (ended.trueCost) ledger_.reconcile(context, *tenant, request, *ended.trueCost - request.arrival.cost);
+}
+
+// ---- The end --------------------------------------------------------------------------------------
+
+void RequestLifecycle::answerUnserved(EventContext& context, Request& request, Duration retryAfter) {
+    if (retries_.isRepeatHarmless(request, context.now)) {
+        const Duration advice =
+            settings_.retryAfterAllowed ? std::min(retryAfter, settings_.maxRetryAfter) : Duration{};
+        context.act(RejectRequest{request.arrival.request, advice});
+    } else {
+        context.act(FailRequest{request.arrival.request});
+    }
+    request.closed = true;
+    request.decided = true;
+    requests_.eraseIfDone(request);
+}
+
+void RequestLifecycle::onClientDisconnected(EventContext& context, const ClientDisconnected& disconnected) {
+    Request* request = requests_.find(disconnected.request);
+    if (request == nullptr) return;
+    if (settings_.cancellationAllowed && !request->streaming) cancelAttempts(context, *request);
+    if (!request->decided) refundUndecided(context, *request);
+    request->closed = true;
+    requests_.eraseIfDone(*request);
+}
+
+void RequestLifecycle::cancelAttempts(EventContext& context, const Request& request) const {
+    for (std::size_t i = 0; i < request.attempts.size(); ++i) {
+        if (request.attempts[i].ended) continue;
+        context.act(CancelAttempt{request.arrival.request, static_cast<int>(i)});
+    }
+}
+
+void RequestLifecycle::refundUndecided(EventContext& context, Request& request) {
+    request.decided = true;
+    Tenant* tenant = tenants_.find(request.arrival.tenant);
+    if (tenant == nullptr) return;
+    ledger_.refundRejected(context, request, findSlice(*tenant, request.charge.sliceIndex));
+}
+
+// ---- Queries --------------------------------------------------------------------------------------
+
+bool RequestLifecycle::hasTimeToBeServed(const Request& request, TimePoint now) const {
+    const double expected = latency_.expectedSeconds(request.arrival.requestClass);
+    return toSeconds(request.arrival.deadline - now) >= kMinRemainingTimeShare * expected;
+}
+
+Duration RequestLifecycle::expectedTime(const Request& request) const {
+    return fromSeconds(latency_.expectedSeconds(request.arrival.requestClass));
+}
+
+const QuotaPlan* RequestLifecycle::planOf(const Request& request) const {
+    return settings_.plans.empty() ? nullptr : &settings_.plan(request.arrival.plan);
+}
+
+}  // namespace gateway
--- /dev/null
+++ b/src/decision/engine/request_lifecycle.h
@@ -0,0 +1,88 @@
+// The life of a request: admission by its tenant's quota, attempts and retries, the final answer.
+//
+// Every request that arrived gets exactly one final answer: an endpoint's response, which the caller passes
+// on when an attempt succeeds, or RejectRequest or FailRequest from here. A request whose client disconnected
+// gets none.
+#pragma once
+
+#include "decision/engine/attempt_dispatcher.h"
+#include "decision/engine/event_context.h"
+#include "decision/engine/request_table.h"
+#include "decision/quota/counter_ledger.h"
+#include "decision/quota/quota_admission.h"
+#include "decision/quota/tenant_table.h"
+#include "decision/quota/usage_estimator.h"
+#include "decision/upstream/latency_stats.h"
+#include "decision/upstream/retry_policy.h"
+#include "gateway/settings.h"
+
+namespace gateway {
+
+class RequestLifecycle {
+public:
+    // What a request needs of the quota: the tenants, and the modules that charge them.
+    struct Quota {
+        TenantTable& tenants;
+        UsageEstimator& usage;
+        CounterLedger& ledger;
+        QuotaAdmission& admission;
+    };
+
+    // What a request needs to reach an endpoint.
+    struct Upstream {
+        const LatencyStats& latency;
+        RetryPolicy& retries;
+        AttemptDispatcher& attempts;
+    };
+
+    // All arguments, and what they refer to, must outlive the lifecycle.
+    RequestLifecycle(const Settings& settings, RequestTable& requests, const Quota& quota,
+                     const Upstream& upstream);
+
+    // Admits the request, rejects it, or lets it wait for the counter's reply.
+    void onRequestArrived(EventContext& context, const RequestArrived& arrival);
+
+    // Decides on the requests that waited for the counter's reply.
+    void onCounterReplied(EventContext& context, const CounterReplied& reply);
+
+    // Decides on the request without the counter's reply.
+    void onCounterWaitOver(EventContext& context, const CounterWaitOver& timer);
+
+    // Learns from the attempt, reconciles the actual cost, and retries or answers the request unless it is
+    // closed. Ignores an attempt that is not in flight.
+    void onAttemptEnded(EventContext& context, const AttemptEnded& ended);
+
+    // The request's attempt can't be cancelled any more.
+    void onStreamStarted(const StreamStarted& started);
+
+    // Cancels the request's attempts, and refunds its charge if it was not forwarded.
+    void onClientDisconnected(EventContext& context, const ClientDisconnected& disconnected);
+
+private:
+    void startAdmission(EventContext& context, Request& request);
+    void waitForCounter(EventContext& context, const Request& request);
+    void recordAwaitedReply(EventContext& context, RequestKey key, bool ok);
+    void decide(EventContext& context, Request& request);
+    void forward(EventContext& context, Request& request);
+    void cancelAttempts(EventContext& context, const Request& request) const;
+    void refundUndecided(EventContext& context, Request& request);
+    void recordReached(Request& request, Outcome outcome) const;
+    void settleCost(EventContext& context, Request& request, const AttemptEnded& ended, Tenant* tenant);
+    void answerUnserved(EventContext& context, Request& request, Duration retryAfter);
+
+    bool hasTimeToBeServed(const Request& request, TimePoint now) const;
+    Duration expectedTime(const Request& request) const;
+    const QuotaPlan* planOf(const Request& request) const;
+
+    const Settings& settings_;
+    RequestTable& requests_;
+    TenantTable& tenants_;
+    UsageEstimator& usage_;
+    CounterLedger& ledger_;
+    QuotaAdmission& admission_;
+    const LatencyStats& latency_;
+    RetryPolicy& retries_;
+    AttemptDispatcher& attempts_;
+};
+
+}  // namespace gateway
--- a/src/decision/engine/request_table.h
+++ b/src/decision/engine/request_table.h
@@ -1,4 +1,4 @@
-// The requests in flight, by their keys and by the ids that clients gave them.
+// The requests in flight, by their keys and by the ids that clients chose.
 #pragma once
 
 #include <cstdint>
@@ -9,35 +9,20 @@
 
 namespace gateway {
 
+// References to a request stay valid until the request is erased.
 class RequestTable {
 public:
-    Request& add(const RequestArrived& arrival, TimePoint now) {
-        const RequestKey key{++lastKey_};
-        keys_[arrival.request] = key;
-        Request& request = requests_[key];
-        request.key = key;
-        request.arrival = arrival;
-        request.arrivedAt = now;
-        return request;
-    }
-
-    // Null where no such request is in flight.
-    Request* find(RequestKey key) {
-        const auto found = requests_.find(key);
-        return found == requests_.end() ? nullptr : &found->second;
-    }
-    Request* find(const RequestId& id) {
-        const auto found = keys_.find(id);
-        return found == keys_.end() ? nullptr : find(found->second);
-    }
-
-    // Forgets a request that has its final answer and no attempt in flight; `request` is gone then.
-    void eraseIfDone(Request& request) {
-        if (!request.closed || request.hasAttemptInFlight()) return;
-        const RequestKey key = request.key;
-        keys_.erase(request.arrival.request);
-        requests_.erase(key);
-    }
+    // Adds a request under a new key. A request in flight with the same client id is no longer found by that
+    // id.
+    Request& add(const RequestArrived& arrival, TimePoint now);
+
+    // Null when no such request is in flight.
+    Request* find(RequestKey key);
+    Request* find(const RequestId& id);
+
+    // Erases a request that is closed and has no attempt in flight; the reference is invalid afterwards. Does
+    // nothing for any other request.
+    void eraseIfDone(Request& request);
 
 private:
     std::unordered_map<RequestId, RequestKey> keys_;
--- a/src/decision/engine/timer_table.h
+++ b/src/decision/engine/timer_table.h
@@ -1,50 +1,40 @@
-// The timers that the decision module has set, and what each is for.
+// The running timers of the decision engine, and what each one is for.
 #pragma once
 
-#include <algorithm>
 #include <cstdint>
 #include <optional>
 #include <unordered_map>
 #include <variant>
 
-#include "decision/engine/request_table.h"
+#include "decision/engine/request_key.h"
 #include "gateway/actions.h"
 
 namespace gateway {
 
-// A request has waited for the counter long enough.
+// The longest wait of a request for the counter's replies is over.
 struct CounterWaitOver {
     RequestKey request = RequestKey::none;
 };
 
-// What a window slice still has to post goes out.
+// The amounts that are pending for a window slice are to be posted to the counter.
 struct FlushDue {
     TenantId tenant{};
     std::int64_t sliceIndex = 0;
 };
 
-// Discovery failed a while ago and is to be asked again.
+// Discovery could not be reached; the endpoint watch is to be opened again.
 struct DiscoveryRetryDue {};
 
 using Timer = std::variant<CounterWaitOver, FlushDue, DiscoveryRetryDue>;
 
 class TimerTable {
 public:
-    void set(const Timer& timer, Duration after, Actions& actions) {
-        constexpr Duration kMinDelay{1};
-        const TimerId id{++lastId_};
-        timers_[id] = timer;
-        actions.push_back(SetTimer{id, std::max(after, kMinDelay)});
-    }
-
-    // Takes out the timer that fired; nothing for one that is not known.
-    std::optional<Timer> take(TimerId id) {
-        const auto found = timers_.find(id);
-        if (found == timers_.end()) return std::nullopt;
-        const Timer timer = found->second;
-        timers_.erase(found);
-        return timer;
-    }
+    // Keeps `timer` under a new id and returns the action that starts it. A delay that is not positive is
+    // replaced by the shortest one.
+    SetTimer start(const Timer& timer, Duration after);
+
+    // Removes and returns the timer that fired; nothing for an id that is not running.
+    std::optional<Timer> take(TimerId id);
 
 private:
     std::unordered_map<TimerId, Timer> timers_;
