--- /dev/null
+++ b/tests/support/engine_fixture.cpp
@@ -0,0 +1,141 @@
+#include "support/engine_fixture.h"
+
+#include <utility>
+#include <variant>
+
+#include "decision/common/overloaded.h"
+
+namespace gateway {
+namespace {
+
+constexpr std::uint64_t kSeed = 7;
+constexpr int kEndpointsPerCell = 2;
+constexpr Duration kAttemptTime = milliseconds(50);
+constexpr Duration kCounterFailureTime = milliseconds(30);
+
+}  // namespace
+
+Settings plainSettings() {
+    RequestClass requestClass;
+    requestClass.latencyObjective = milliseconds(600);
+    requestClass.deadline = milliseconds(2500);
+    QuotaPlan plan;
+    plan.rate = 2;
+    plan.burst = 8;
+    Settings settings;
+    settings.classes = {requestClass};
+    settings.plans = {plan};
+    settings.gatewayCount = 2;
+    settings.cancellationAllowed = true;
+    settings.retryAfterAllowed = true;
+    settings.maxAttempts = 4;
+    settings.maxRetryAfter = milliseconds(500);
+    settings.counterEnabled = true;
+    settings.counterTimeout = milliseconds(30);
+    settings.maxRequestCost = 2;
+    settings.responseSlack = milliseconds(16);
+    settings.drainGracePeriod = milliseconds(250);
+    settings.slowStartInitialShare = 0.25;
+    settings.slowStartDuration = milliseconds(16000);
+    settings.overloadMultiple = 2;
+    settings.overloadWindow = milliseconds(1000);
+    return settings;
+}
+
+EngineFixture::EngineFixture(const Settings& engineSettings, int endpoints)
+    : settings(engineSettings), engine(engineSettings, kSeed) {
+    EndpointUpdate list;
+    list.kind = UpdateKind::cached;
+    for (int i = 0; i < endpoints; ++i)
+        list.entries.push_back(entry("w" + std::to_string(i), CellId{i / kEndpointsPerCell}));
+    feed(list);
+}
+
+EndpointEntry EngineFixture::entry(const std::string& id, CellId cell) {
+    EndpointEntry entry;
+    entry.endpoint = EndpointId(id);
+    entry.cell = cell;
+    return entry;
+}
+
+void EngineFixture::feed(const Event& event) {
+    Actions actions;
+    engine.handle(now, event, actions);
+    for (const Action& action : actions) collect(action);
+    while (!answers.empty()) {
+        const CounterReplied reply = answers.front();
+        answers.erase(answers.begin());
+        feed(reply);
+    }
+}
+
+void EngineFixture::collect(const Action& action) {
+    const Overloaded collector{
+        [&](const AddToCounter& call) { add(call); },
+        [&](const SetTimer& timer) { timers.emplace(now + timer.after, timer.timer); },
+        [&](const SendAttempt& send) { sends.push_back(send); },
+        [&](const RejectRequest& rejection) { refusals.push_back(rejection); },
+        [&](const FailRequest& failure) { fails.push_back(failure); },
+        [&](const auto& other) { others.emplace_back(other); },
+    };
+    std::visit(collector, action);
+}
+
+void EngineFixture::add(const AddToCounter& add) {
+    ++adds;
+    if (!counting) {
+        held.push_back(add);
+        return;
+    }
+    double& total = counts[add.name];
+    total += add.amount;
+    answers.push_back({add.name, Outcome::ok, total, {}});
+}
+
+void EngineFixture::advance(Duration step) {
+    const TimePoint until = now + step;
+    while (!timers.empty() && timers.begin()->first <= until) {
+        now = timers.begin()->first;
+        const TimerId timer = timers.begin()->second;
+        timers.erase(timers.begin());
+        feed(TimerFired{timer});
+    }
+    now = until;
+}
+
+std::string EngineFixture::request(double cost, std::uint64_t tenant, Duration patience, int entryPoints) {
+    RequestArrived arrival;
+    arrival.request = RequestId("r" + std::to_string(++requests));
+    arrival.tenant = TenantId{tenant};
+    arrival.cost = cost;
+    arrival.entryPoints = entryPoints;
+    arrival.deadline = now + patience;
+    feed(arrival);
+    return arrival.request.value();
+}
+
+void EngineFixture::end(const SendAttempt& send, int attempt, Outcome outcome, bool closed,
+                        std::optional<double> actualCost) {
+    AttemptEnded ended;
+    ended.request = send.request;
+    ended.attempt = attempt;
+    ended.endpoint = send.endpoint;
+    ended.outcome = outcome;
+    ended.elapsed = kAttemptTime;
+    ended.closed = closed;
+    ended.trueCost = actualCost;
+    feed(ended);
+}
+
+void EngineFixture::failHeldAdds(Outcome outcome) {
+    const std::vector<AddToCounter> failing = std::exchange(held, {});
+    for (const AddToCounter& add : failing) feed(CounterReplied{add.name, outcome, 0, kCounterFailureTime});
+}
+
+double EngineFixture::counted() const {
+    double sum = 0;
+    for (const auto& [name, total] : counts) sum += total;
+    return sum;
+}
+
+}  // namespace gateway
--- a/tests/support/engine_fixture.h
+++ b/tests/support/engine_fixture.h
@@ -1,10 +1,10 @@
 // A decision engine with a clock and a counter service of the test's own.
 #pragma once
 
+#include <cstdint>
 #include <map>
 #include <optional>
 #include <string>
-#include <utility>
 #include <vector>
 
 #include "gateway/decision_engine.h"
@@ -13,140 +13,56 @@
 
 using std::chrono::milliseconds;
 
-inline Settings plainSettings() {
-    Settings s;
-    RequestClass c;
-    c.latencyObjective = milliseconds(600);
-    c.deadline = milliseconds(2500);
-    s.classes = {c};
-    QuotaPlan p;
-    p.rate = 2;
-    p.burst = 8;  // a window of 4 s with room for 8 units
-    s.plans = {p};
-    s.gatewayCount = 2;
-    s.cancellationAllowed = s.retryAfterAllowed = true;
-    s.maxAttempts = 4;
-    s.maxRetryAfter = milliseconds(500);
-    s.counterEnabled = true;
-    s.counterTimeout = milliseconds(30);
-    s.maxRequestCost = 2;
-    s.responseSlack = milliseconds(16);
-    s.drainGracePeriod = milliseconds(250);
-    s.slowStartInitialShare = 0.25;
-    s.slowStartDuration = milliseconds(16000);
-    s.overloadMultiple = 2;
-    s.overloadWindow = milliseconds(1000);
-    return s;
-}
-
-// One gateway, a clock and a counter service that the test can stop.
+// Settings with one safe request class and one plan of 2 cost units a second with a burst of 8, so that a
+// window slice lasts 4 s.
+Settings plainSettings();
+
+// One gateway's engine. Actions are collected as they come; the counter service replies at once while
+// `counting`. Time moves by advance() alone, which fires the timers that are due.
 class EngineFixture {
 public:
-    explicit EngineFixture(Settings s, int endpoints = 4) : settings(s), engine(std::move(s), 7) {
-        EndpointUpdate list;
-        list.kind = UpdateKind::cached;
-        for (int i = 0; i < endpoints; ++i)
-            list.entries.push_back(entry("w" + std::to_string(i), CellId{i / 2}));
-        feed(list);
-    }
-
-    static EndpointEntry entry(const std::string& id, CellId cell = {}) {
-        EndpointEntry e;
-        e.endpoint = EndpointId(id);
-        e.cell = cell;
-        return e;
-    }
-
-    // Hands over an event and keeps the actions; adds are answered at once while `counting`.
-    void feed(const Event& event) {
-        Actions out;
-        engine.handle(now, event, out);
-        for (const Action& action : out) {
-            if (const auto* add = std::get_if<AddToCounter>(&action)) {
-                ++adds;
-                if (counting)
-                    answers.push_back({add->name, Outcome::ok, counts[add->name] += add->amount, {}});
-                else
-                    held.push_back(*add);
-            } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
-                timers.emplace(now + timer->after, timer->timer);
-            } else if (const auto* send = std::get_if<SendAttempt>(&action)) {
-                sends.push_back(*send);
-            } else if (const auto* refusal = std::get_if<RejectRequest>(&action)) {
-                refusals.push_back(*refusal);
-            } else if (const auto* failure = std::get_if<FailRequest>(&action)) {
-                fails.push_back(*failure);
-            } else {
-                others.push_back(action);
-            }
-        }
-        while (!answers.empty()) {
-            const CounterReplied a = answers.front();
-            answers.erase(answers.begin());
-            feed(a);
-        }
-    }
-
-    void advance(Duration by) {
-        const TimePoint until = now + by;
-        while (!timers.empty() && timers.begin()->first <= until) {
-            now = timers.begin()->first;
-            const auto timer = timers.begin()->second;
-            timers.erase(timers.begin());
-            feed(TimerFired{timer});
-        }
-        now = until;
-    }
+    // Starts an engine and reports endpoints "w0", "w1" and so on to it, two in a cell.
+    explicit EngineFixture(const Settings& engineSettings, int endpoints = 4);
+
+    static EndpointEntry entry(const std::string& id, CellId cell = {});
+
+    // Hands an event to the engine and collects its actions.
+    void feed(const Event& event);
+
+    void advance(Duration step);
 
+    // Sends a request and returns its id. `patience`: from now to the client's deadline.
     std::string request(double cost = 1, std::uint64_t tenant = 5, Duration patience = milliseconds(2500),
-                        int entryPoints = 2) {
-        RequestArrived r;
-        r.request = RequestId("r" + std::to_string(++requests));
-        r.tenant = TenantId{tenant};
-        r.cost = cost;
-        r.entryPoints = entryPoints;
-        r.deadline = now + patience;
-        feed(r);
-        return r.request.value();
-    }
+                        int entryPoints = 2);
 
+    // Ends an attempt after 50 ms.
     void end(const SendAttempt& send, int attempt, Outcome outcome, bool closed,
-             std::optional<double> cost = {}) {
-        AttemptEnded e;
-        e.request = send.request;
-        e.attempt = attempt;
-        e.endpoint = send.endpoint;
-        e.outcome = outcome;
-        e.elapsed = milliseconds(50);
-        e.closed = closed;
-        e.trueCost = cost;
-        feed(e);
-    }
-
-    void failHeldAdds(Outcome outcome) {
-        const auto failing = std::exchange(held, {});
-        for (const AddToCounter& add : failing) feed(CounterReplied{add.name, outcome, 0, milliseconds(30)});
-    }
-
-    double counted() const {
-        double sum = 0;
-        for (const auto& [name, value] : counts) sum += value;
-        return sum;
-    }
+             std::optional<double> actualCost = {});
+
+    // Replies to each unanswered add with a failure.
+    void failHeldAdds(Outcome outcome);
+
+    // The sum over all names on the counter service.
+    double counted() const;
 
     Settings settings;
     DecisionEngine engine;
     TimePoint now{milliseconds(100'000)};
     bool counting = true;
-    int adds = 0, requests = 0;
+    int adds = 0;
+    int requests = 0;
     std::map<std::string, double> counts;
     std::vector<CounterReplied> answers;
-    std::vector<AddToCounter> held;
+    std::vector<AddToCounter> held;  // adds that the counter service has not replied to
     std::multimap<TimePoint, TimerId> timers;
     std::vector<SendAttempt> sends;
     std::vector<RejectRequest> refusals;
     std::vector<FailRequest> fails;
     Actions others;
+
+private:
+    void collect(const Action& action);
+    void add(const AddToCounter& add);
 };
 
 }  // namespace gateway
