--- a/src/decision/engine/decision_engine_impl.cpp
+++ b/src/decision/engine/decision_engine_impl.cpp
@@ -229,7 +229,7 @@
 }
 
 void DecisionEngine::Impl::onTimer(EventContext& context, const FlushDue& timer) {
-    ledger_.flush(context, timer.tenant, timer.sliceIndex);
+    ledger_.flush(context, timer.slice);
 }
 
 void DecisionEngine::Impl::onTimer(EventContext& context, const DiscoveryRetryDue&) {
--- a/src/decision/engine/timer_table.h
+++ b/src/decision/engine/timer_table.h
@@ -8,6 +8,7 @@
 #include <variant>
 
 #include "decision/engine/request_table.h"
+#include "decision/quota/slice_key.h"
 #include "gateway/actions.h"
 
 namespace gateway {
@@ -19,8 +20,7 @@
 
 // What a window slice still has to post goes out.
 struct FlushDue {
-    TenantId tenant{};
-    std::int64_t sliceIndex = 0;
+    SliceKey slice;
 };
 
 // Discovery failed a while ago and is to be asked again.
--- a/src/decision/quota/ceiling_bucket.cpp
+++ b/src/decision/quota/ceiling_bucket.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "decision/common/arithmetic.h"
-#include "decision/quota/quota_window.h"
+#include "decision/quota/slice_schedule.h"
 
 namespace gateway {
 
@@ -16,7 +16,7 @@
     const double share = 1.0 / tenant.entryPoints;
     const bool neverFilled = bucket.filledAt == TimePoint{};
     const TimePoint since =
-        neverFilled ? std::max(startedAt, now - 2 * kMaxCounterNameLife) : bucket.filledAt;
+        neverFilled ? std::max(startedAt, now - 2 * kMaxCounterNameLifetime) : bucket.filledAt;
     const double rate = plan.ceilingRate - (settings_.counterEnabled ? plan.rate : 0);
     const double filled = toSeconds(now - since) * std::max(0.0, rate) * std::min(share, bucket.share);
     bucket.tokens = std::min(capacity(tenant, plan), bucket.tokens + filled);
--- a/src/decision/quota/counter_ledger.cpp
+++ b/src/decision/quota/counter_ledger.cpp
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "decision/common/arithmetic.h"
-#include "decision/quota/slice_name.h"
+#include "decision/quota/slice_key.h"
 
 namespace gateway {
 namespace {
@@ -15,7 +15,6 @@
 constexpr double kMinLostCost = 0.5;
 constexpr double kDebtReadUse = 0.5;    // quota use from which a closed slice is read of a crowded counter
 constexpr double kOpeningMargin = 0.5;  // cost by which the sum of the add that opens a slice may differ
-constexpr int kNameLifeSlices = 3;      // for which the counter keeps a slice's name
 
 // An add without a reply, or with one that can't be read, was most likely counted: a crowded counter works on
 // calls that nobody waits for. Posting it again would shut out a tenant that has room; if it was lost, the
@@ -39,20 +38,19 @@
 CounterCall& CounterLedger::post(EventContext& context, const Tenant& tenant, WindowSlice& slice,
                                  CounterCall call) const {
     CounterCall& begun = slice.beginCall(std::move(call));
-    const double life = kNameLifeSlices * sliceSeconds(parts_.usage.planOf(tenant));
-    context.act(AddToCounter{sliceName(tenant.id, slice.index), begun.amount,
-                             std::min(kMaxCounterNameLife, fromSeconds(life))});
+    context.act(AddToCounter{formatSliceKey({tenant.id, slice.index}), begun.amount,
+                             counterNameLifetime(parts_.usage.planOf(tenant))});
     return begun;
 }
 
 CounterLedger::ReplyResult CounterLedger::onReply(EventContext& context, const CounterReplied& reply) const {
-    const auto [tenantId, sliceIndex] = parseSliceName(reply.name);
+    const SliceKey key = parseSliceKey(reply.name);
     ReplyResult result;
     result.ok = reply.outcome == Outcome::ok;
-    result.tenant = tenantId;
+    result.tenant = key.tenant;
     parts_.sampler.observe(reply, context.now);
-    Tenant* tenant = parts_.tenants.find(tenantId);
-    WindowSlice* slice = tenant == nullptr ? nullptr : findSlice(*tenant, sliceIndex);
+    Tenant* tenant = parts_.tenants.find(key.tenant);
+    WindowSlice* slice = tenant == nullptr ? nullptr : findSlice(*tenant, key.index);
     if (slice == nullptr || slice->calls.empty()) return result;
     result.slicePosition = static_cast<std::size_t>(slice - tenant->slices.data());
     CounterCall call = std::move(slice->calls.front());
@@ -62,7 +60,7 @@
     if (result.ok && !call.readers.empty()) carryDebt(context, *tenant, *slice);
     Request* request = parts_.requests.find(call.request);
     if (call.admission == Admission::pending && request != nullptr) {
-        confirmCharge(context, *tenant, call, *request, reply, sliceIndex);
+        confirmCharge(context, *tenant, call, *request, reply, key.index);
         result.charged = call.request;
     }
     result.readers = std::move(call.readers);
@@ -88,7 +86,7 @@
     slice.othersSince = parts_.usage.othersWhile(tenant, call.carriedUnverified);
     const double burst = std::max(plan.burst, parts_.settings.maxRequestCost);
     const double most = burst + plan.rate * sliceSeconds(plan);
-    const double age = secondsSinceEpoch(context.now) - sliceStart(tenant.id, plan, slice.index);
+    const double age = sliceAgeSeconds(tenant.id, plan, slice.index, context.now);
     const double full = std::min(most, most + plan.rate * (age - sliceSeconds(plan))) - slice.forfeited;
     if (plan.ceilingRate > 0 && lost <= 0 && slice.total <= full)
         parts_.ceiling.giveBack(tenant, plan, call.unverified);
@@ -106,14 +104,14 @@
 
 void CounterLedger::confirmCharge(EventContext& context, Tenant& tenant, const CounterCall& call,
                                   Request& request, const CounterReplied& reply,
-                                  std::int64_t sliceIndex) const {
+                                  SliceIndex sliceIndex) const {
     const bool ok = reply.outcome == Outcome::ok;
     QuotaCharge& charge = request.charge;
     charge.posted = wasCounted(reply.outcome);
     if (!charge.posted) charge.amount = request.arrival.cost;  // it stands for no other then
     charge.confirmed = ok;
     // The one whose add opened the slice reads the closed one before it and carries its debt over.
-    WindowSlice* closed = findSlice(tenant, sliceIndex - 1);
+    WindowSlice* closed = findSlice(tenant, previousSlice(sliceIndex));
     if (!ok || closed == nullptr || !mayCarryDebt(tenant, *closed, context.now)) return;
     const bool openedSlice = call.postedSoFar == call.charge && reply.total <= call.charge + kOpeningMargin;
     if (!openedSlice) return;
@@ -127,7 +125,7 @@
 }
 
 void CounterLedger::carryDebt(EventContext& context, Tenant& tenant, const WindowSlice& closed) const {
-    WindowSlice* next = findSlice(tenant, closed.index + 1);
+    WindowSlice* next = findSlice(tenant, nextSlice(closed.index));
     if (next == nullptr || next->debtCarried) return;
     next->debtCarried = true;
     const double sum = closed.total + parts_.window.unsummedCost(tenant, closed) + closed.forfeited;
@@ -157,7 +155,7 @@
     const bool inFlight = slice->resolveCall(request.key, Admission::rejected) != nullptr;
     if (!inFlight && !request.charge.posted) return;
     slice->addRefund(request.charge.amount, request.charge.confirmed);
-    flush(context, request.arrival.tenant, slice->index);
+    flush(context, {request.arrival.tenant, slice->index});
 }
 
 void CounterLedger::refundUnsent(EventContext& context, const Request& request) const {
@@ -192,12 +190,12 @@
     if (slice.flushScheduled || !parts_.settings.counterEnabled) return;
     slice.flushScheduled = true;
     const double delay = kFlushDelay * sliceSeconds(parts_.usage.planOf(tenant));
-    context.setTimer(FlushDue{tenant.id, slice.index}, fromSeconds(delay));
+    context.setTimer(FlushDue{{tenant.id, slice.index}}, fromSeconds(delay));
 }
 
-void CounterLedger::flush(EventContext& context, TenantId tenantId, std::int64_t sliceIndex) const {
-    Tenant* tenant = parts_.tenants.find(tenantId);
-    WindowSlice* slice = tenant == nullptr ? nullptr : findSlice(*tenant, sliceIndex);
+void CounterLedger::flush(EventContext& context, const SliceKey& key) const {
+    Tenant* tenant = parts_.tenants.find(key.tenant);
+    WindowSlice* slice = tenant == nullptr ? nullptr : findSlice(*tenant, key.index);
     if (slice == nullptr) return;
     slice->flushScheduled = false;
     // While the counter is silent the next add carries it.
--- a/src/decision/quota/counter_ledger.h
+++ b/src/decision/quota/counter_ledger.h
@@ -13,6 +13,7 @@
 #include "decision/quota/ceiling_bucket.h"
 #include "decision/quota/counter_sampler.h"
 #include "decision/quota/quota_window.h"
+#include "decision/quota/slice_key.h"
 #include "decision/quota/tenant_table.h"
 
 namespace gateway {
@@ -69,7 +70,7 @@
     void reconcile(EventContext& context, Tenant& tenant, const Request& request, double difference) const;
 
     // Posts what is pending on the slice, unless the counter can't take it now.
-    void flush(EventContext& context, TenantId tenantId, std::int64_t sliceIndex) const;
+    void flush(EventContext& context, const SliceKey& key) const;
 
 private:
     CounterCall& post(EventContext& context, const Tenant& tenant, WindowSlice& slice,
@@ -78,7 +79,7 @@
                     double total) const;
     double lostCost(const QuotaPlan& plan, const CounterCall& call, double total) const;
     void confirmCharge(EventContext& context, Tenant& tenant, const CounterCall& call, Request& request,
-                       const CounterReplied& reply, std::int64_t sliceIndex) const;
+                       const CounterReplied& reply, SliceIndex sliceIndex) const;
     bool mayCarryDebt(const Tenant& tenant, const WindowSlice& closed, TimePoint now) const;
     void carryDebt(EventContext& context, Tenant& tenant, const WindowSlice& closed) const;
     void scheduleFlush(EventContext& context, const Tenant& tenant, WindowSlice& slice) const;
--- a/src/decision/quota/quota_charge.h
+++ b/src/decision/quota/quota_charge.h
@@ -1,13 +1,13 @@
 // What a request charged to its tenant's quota.
 #pragma once
 
-#include <cstdint>
+#include "decision/quota/slice_schedule.h"
 
 namespace gateway {
 
 // What a request charged to its tenant's quota.
 struct QuotaCharge {
-    std::int64_t sliceIndex = 0;
+    SliceIndex sliceIndex{};
     double amount = 0;       // what its add charges: its cost, or more where it stands for unsampled requests
     bool posted = false;     // it is, or may be, on the counter
     bool confirmed = false;  // the counter replied to it
--- a/src/decision/quota/quota_window.cpp
+++ b/src/decision/quota/quota_window.cpp
@@ -7,37 +7,8 @@
 #include "decision/common/arithmetic.h"
 
 namespace gateway {
-namespace {
 
-constexpr double kMinSliceSeconds = 0.1;
-constexpr double kMinRate = 1e-9;  // against division by zero
-constexpr std::uint64_t kPhaseSteps = 1024;
-constexpr std::uint64_t kPhaseFactor = 2654435761;  // spreads neighbouring tenant ids
-
-// Slices are aligned on the shared clock, each tenant's shifted by its id so that not all of a plan's windows
-// open at the same moment.
-double slicePhase(TenantId tenant) {
-    return static_cast<double>(static_cast<std::uint64_t>(tenant) * kPhaseFactor % kPhaseSteps) /
-           static_cast<double>(kPhaseSteps);
-}
-
-std::int64_t sliceIndexAt(TenantId tenant, const QuotaPlan& plan, TimePoint now) {
-    return static_cast<std::int64_t>(
-        std::floor(secondsSinceEpoch(now) / sliceSeconds(plan) + slicePhase(tenant)));
-}
-
-}  // namespace
-
-double sliceSeconds(const QuotaPlan& plan) {
-    return std::clamp(plan.burst / std::max(plan.rate, kMinRate), kMinSliceSeconds,
-                      toSeconds(kMaxCounterNameLife) / 3);
-}
-
-double sliceStart(TenantId tenant, const QuotaPlan& plan, std::int64_t index) {
-    return (static_cast<double>(index) - slicePhase(tenant)) * sliceSeconds(plan);
-}
-
-WindowSlice* findSlice(Tenant& tenant, std::int64_t index) {
+WindowSlice* findSlice(Tenant& tenant, SliceIndex index) {
     for (WindowSlice& slice : tenant.slices)
         if (slice.index == index) return &slice;
     return nullptr;
@@ -48,27 +19,27 @@
 }
 
 WindowSlice& QuotaWindow::advance(Tenant& tenant, TimePoint now) const {
-    const std::int64_t current = sliceIndexAt(tenant.id, usage_.planOf(tenant), now);
+    const SliceIndex current = sliceIndexAt(tenant.id, usage_.planOf(tenant), now);
     auto& slices = tenant.slices;
-    while (!slices.empty() && slices.front().index < current - 1) {
+    while (!slices.empty() && slices.front().index < previousSlice(current)) {
         usage_.noteClosedSlice(tenant, slices.front());
         slices.erase(slices.begin());
     }
-    while (slices.empty() || slices.back().index < current) slices.push_back(nextSlice(tenant, current));
+    while (slices.empty() || slices.back().index < current) slices.push_back(openNext(tenant, current));
     return slices.back();
 }
 
 // Until the counter replies for it, the new slice has the debt that is known of the one before.
-WindowSlice QuotaWindow::nextSlice(const Tenant& tenant, std::int64_t currentIndex) const {
+WindowSlice QuotaWindow::openNext(const Tenant& tenant, SliceIndex currentIndex) const {
     WindowSlice next;
     if (tenant.slices.empty()) {
-        next.index = currentIndex - 1;
+        next.index = previousSlice(currentIndex);
         return next;
     }
     const QuotaPlan& plan = usage_.planOf(tenant);
     const WindowSlice& previous = tenant.slices.back();
     const double known = previous.total + previous.forfeited;
-    next.index = previous.index + 1;
+    next.index = nextSlice(previous.index);
     next.total = debtOf(plan, known);
     next.admittedSince = debtOf(plan, known + unsummedCost(tenant, previous)) - next.total;
     return next;
@@ -79,7 +50,7 @@
     if (!usage_.reliesOnMeter(tenant)) return slice.total + slice.admittedSince + slice.othersSince;
     const QuotaPlan& plan = usage_.planOf(tenant);
     const double from =
-        std::max(secondsSinceEpoch(slice.repliedAt), sliceStart(tenant.id, plan, slice.index));
+        std::max(secondsSinceEpoch(slice.repliedAt), sliceStartSeconds(tenant.id, plan, slice.index));
     const double most = plan.rate * std::max(0.0, secondsSinceEpoch(now) - from);
     return slice.total + slice.admittedSince + std::min(slice.othersSince, most);
 }
@@ -89,7 +60,7 @@
 double QuotaWindow::roomFor(const Tenant& tenant, WindowSlice& slice, double sum, TimePoint now) const {
     const QuotaPlan& plan = usage_.planOf(tenant);
     const double burst = std::max(plan.burst, settings_.maxRequestCost);
-    const double age = secondsSinceEpoch(now) - sliceStart(tenant.id, plan, slice.index);
+    const double age = sliceAgeSeconds(tenant.id, plan, slice.index, now);
     const double room = burst + plan.rate * age - sum;
     if (slice.hasTotal) slice.forfeited = std::max(slice.forfeited, room - burst);
     return room - slice.forfeited;
--- a/src/decision/quota/quota_window.h
+++ b/src/decision/quota/quota_window.h
@@ -5,25 +5,14 @@
 // that slice's sum. docs/design.md tells what was kept of the thesis and what was changed.
 #pragma once
 
-#include <cstdint>
-
 #include "decision/quota/tenant.h"
 #include "decision/quota/usage_estimator.h"
 #include "gateway/settings.h"
 
 namespace gateway {
 
-// The counter keeps no name for longer.
-constexpr Duration kMaxCounterNameLife = std::chrono::seconds(60);
-
-// Seconds that a slice lasts.
-double sliceSeconds(const QuotaPlan& plan);
-
-// Seconds since the epoch at which the tenant's slice `index` begins.
-double sliceStart(TenantId tenant, const QuotaPlan& plan, std::int64_t index);
-
 // The slice with that index, or null.
-WindowSlice* findSlice(Tenant& tenant, std::int64_t index);
+WindowSlice* findSlice(Tenant& tenant, SliceIndex index);
 
 // What a slice's sum exceeds its rate by; it is carried into the next slice.
 double debtOf(const QuotaPlan& plan, double sum);
@@ -64,7 +53,7 @@
     void noteUnconfirmed(const Tenant& tenant, WindowSlice& slice, double cost) const;
 
 private:
-    WindowSlice nextSlice(const Tenant& tenant, std::int64_t currentIndex) const;
+    WindowSlice openNext(const Tenant& tenant, SliceIndex currentIndex) const;
 
     const Settings& settings_;
     const UsageEstimator& usage_;
--- a/src/decision/quota/tenant_table.cpp
+++ b/src/decision/quota/tenant_table.cpp
@@ -2,14 +2,14 @@
 
 #include <algorithm>
 
-#include "decision/quota/quota_window.h"
+#include "decision/quota/slice_schedule.h"
 
 namespace gateway {
 namespace {
 
 constexpr int kTouchesPerSweep = 5000;
-constexpr Duration kForgetAfter = 2 * kMaxCounterNameLife;  // without a request
-constexpr double kInitialMeteredUse = 0.9;                  // before the meter reported
+constexpr Duration kForgetAfter = 2 * kMaxCounterNameLifetime;  // without a request
+constexpr double kInitialMeteredUse = 0.9;                      // before the meter reported
 
 }  // namespace
 
--- a/src/decision/quota/usage_estimator.cpp
+++ b/src/decision/quota/usage_estimator.cpp
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "decision/common/arithmetic.h"
-#include "decision/quota/quota_window.h"
+#include "decision/quota/slice_schedule.h"
 
 namespace gateway {
 namespace {
--- a/src/decision/quota/window_slice.h
+++ b/src/decision/quota/window_slice.h
@@ -3,11 +3,11 @@
 // Bookkeeping alone; nothing is decided here. All amounts are costs in the plan's unit.
 #pragma once
 
-#include <cstdint>
 #include <deque>
 #include <vector>
 
 #include "decision/engine/request_key.h"
+#include "decision/quota/slice_schedule.h"
 #include "gateway/types.h"
 
 namespace gateway {
@@ -32,7 +32,7 @@
 
 // The counter holds a slice's sum over all gateways; this is what one gateway knows and owes of it.
 struct WindowSlice {
-    std::int64_t index = 0;
+    SliceIndex index{};
     double total = 0;              // last known sum over all gateways, less own rejected cost
     double admittedSince = 0;      // admitted here since then
     double othersSince = 0;        // what the others admitted since then, by the observed share
