--- a/src/decision/engine/decision_engine_impl.cpp
+++ b/src/decision/engine/decision_engine_impl.cpp
@@ -30,8 +30,8 @@
       window_(settings_, usage_),
       ceiling_(settings_),
       sampler_(settings_.counterTimeout),
-      ledger_({settings_, usage_, window_, ceiling_, sampler_, tenants_, requests_}),
-      admission_({settings_, usage_, window_, ceiling_, sampler_, tenants_, requests_}, ledger_),
+      ledger_(settings_, usage_, window_, ceiling_, sampler_, tenants_, requests_),
+      admission_(settings_, usage_, window_, ceiling_, sampler_, tenants_, ledger_),
       latency_(settings_),
       slowStart_(settings_, endpointStats_),
       limiter_(settings_),
@@ -72,7 +72,7 @@
     if (planOf(request) == nullptr) return sendAttempt(context, request);
     switch (admission_.start(context, request)) {
         case QuotaAdmission::Start::rejected:
-            return answerUnserved(context, request, admission_.retryAfter(context, request));
+            return answerUnserved(context, request, admission_.retryAfter(request, context.now));
         case QuotaAdmission::Start::decideNow:
             return decide(context, request);
         case QuotaAdmission::Start::waiting:
@@ -91,7 +91,7 @@
 void DecisionEngine::Impl::on(EventContext& context, const CounterReplied& reply) {
     const CounterLedger::ReplyResult result = ledger_.onReply(context, reply);
     onAwaitedReply(context, result.charged, result.ok);
-    for (const RequestKey reader : result.readers) onAwaitedReply(context, reader, result.ok);
+    onAwaitedReply(context, result.reader, result.ok);
     ledger_.afterReply(context, result);
 }
 
@@ -181,7 +181,7 @@
 void DecisionEngine::Impl::settleCost(EventContext& context, Request& request, const AttemptEnded& ended,
                                       Tenant* tenant) {
     if (tenant == nullptr) return;
-    if (ended.meteredPercent) usage_.noteMeter(*tenant, *ended.meteredPercent);
+    if (ended.meteredPercent) tenant->usage.recordMeter(*ended.meteredPercent);
     if (ended.trueCost) ledger_.reconcile(context, *tenant, request, *ended.trueCost - request.arrival.cost);
 }
 
--- a/src/decision/quota/ceiling_bucket.cpp
+++ b/src/decision/quota/ceiling_bucket.cpp
@@ -6,31 +6,44 @@
 #include "decision/quota/slice_schedule.h"
 
 namespace gateway {
+namespace {
 
-// The bucket starts empty, as another life of this gateway may just have spent it. When the number of entry
-// points changes it fills by the smaller part until the next request. A tenant forgotten here was idle for
-// twice the longest name and gets what that time fills at most.
-bool CeilingBucket::take(Tenant& tenant, const QuotaPlan& plan, double cost, TimePoint now,
-                         TimePoint startedAt) const {
+// The longest time that a first fill covers. TenantTable forgets a tenant after so long without a request.
+constexpr Duration kMaxFirstFill = 2 * kMaxCounterNameLifetime;
+
+}  // namespace
+
+bool CeilingBucket::tryDraw(Tenant& tenant, const QuotaPlan& plan, double cost, TimePoint now,
+                            TimePoint startedAt) {
+    fill(tenant, plan, now, startedAt);
     CeilingTokens& bucket = tenant.ceiling;
+    if (bucket.tokens < cost) return false;
+    bucket.tokens -= cost;
+    return true;
+}
+
+void CeilingBucket::fill(Tenant& tenant, const QuotaPlan& plan, TimePoint now, TimePoint startedAt) {
+    CeilingTokens& bucket = tenant.ceiling;
+    const bool isFirstFill = bucket.filledAt == TimePoint{};
+    const TimePoint since = isFirstFill ? std::max(startedAt, now - kMaxFirstFill) : bucket.filledAt;
     const double share = 1.0 / tenant.entryPoints;
-    const bool neverFilled = bucket.filledAt == TimePoint{};
-    const TimePoint since =
-        neverFilled ? std::max(startedAt, now - 2 * kMaxCounterNameLifetime) : bucket.filledAt;
     const double rate = plan.ceilingRate - (settings_.counterEnabled ? plan.rate : 0);
+    // After a change of the entry points, the smaller share applies to the time since the last fill: the
+    // other gateways may have drawn the difference.
     const double filled = toSeconds(now - since) * std::max(0.0, rate) * std::min(share, bucket.share);
     bucket.tokens = std::min(capacity(tenant, plan), bucket.tokens + filled);
     bucket.share = share;
     bucket.filledAt = now;
-    if (bucket.tokens < cost) return false;
-    bucket.tokens -= cost;
-    return true;
 }
 
-void CeilingBucket::giveBack(Tenant& tenant, const QuotaPlan& plan, double cost) const {
+void CeilingBucket::refundConfirmed(Tenant& tenant, const QuotaPlan& plan, double cost) {
     tenant.ceiling.tokens = std::min(capacity(tenant, plan), tenant.ceiling.tokens + cost);
 }
 
+void CeilingBucket::refundUnsent(Tenant& tenant, double cost) {
+    tenant.ceiling.tokens += cost;
+}
+
 double CeilingBucket::capacity(const Tenant& tenant, const QuotaPlan& plan) const {
     if (!settings_.counterEnabled) return plan.ceilingBurst / tenant.entryPoints;
     return std::max((plan.ceilingBurst - plan.burst) / tenant.entryPoints, settings_.maxRequestCost);
--- a/src/decision/quota/ceiling_bucket.h
+++ b/src/decision/quota/ceiling_bucket.h
@@ -1,9 +1,9 @@
-// A token bucket for what is admitted of a plan with a ceiling without a reply of the counter.
+// A token bucket for requests of a plan with a ceiling that are admitted without a reply of the counter.
 //
-// What is admitted on a reply stays within the quota, as the reply's sum has in it what the other gateways
-// admitted and posted. What is admitted without one draws from this gateway's part of what the ceiling allows
-// beyond the quota, and gets it back once a reply shows it within the quota. So n gateways together send at
-// most quota + n x (ceiling - quota) / n, however unevenly the tenant comes.
+// Admissions on a reply stay within the quota, as the reported total includes what the other gateways have
+// posted. Admissions without a reply draw from this gateway's part of what the ceiling allows beyond the
+// quota, and are refunded when a later reply shows that they were within the quota. So n gateways together
+// forward at most quota + n * (ceiling - quota) / n, however unevenly the tenant's requests are spread.
 #pragma once
 
 #include "decision/quota/tenant.h"
@@ -11,19 +11,26 @@
 
 namespace gateway {
 
+// Decides on the CeilingTokens of the tenants that it is handed. Costs are in the plan's cost unit.
 class CeilingBucket {
 public:
     // `settings` must outlive the bucket.
     explicit CeilingBucket(const Settings& settings) : settings_(settings) {}
 
-    // Draws `cost`; false where there are too few tokens. `startedAt` is when this gateway started.
-    bool take(Tenant& tenant, const QuotaPlan& plan, double cost, TimePoint now, TimePoint startedAt) const;
+    // Fills the tenant's bucket up to `now` and draws `cost`. Returns false, and draws nothing, with too few
+    // tokens. `startedAt` is when this gateway started: the bucket is empty then, as an earlier incarnation
+    // of the gateway may just have drawn all tokens.
+    bool tryDraw(Tenant& tenant, const QuotaPlan& plan, double cost, TimePoint now, TimePoint startedAt);
 
-    // Gives back what a reply of the counter has shown to be within the quota.
-    void giveBack(Tenant& tenant, const QuotaPlan& plan, double cost) const;
+    // Refunds cost that a reply of the counter has shown to be within the quota.
+    void refundConfirmed(Tenant& tenant, const QuotaPlan& plan, double cost);
+
+    // Refunds the cost of a request that reached no endpoint.
+    static void refundUnsent(Tenant& tenant, double cost);
 
 private:
     double capacity(const Tenant& tenant, const QuotaPlan& plan) const;
+    void fill(Tenant& tenant, const QuotaPlan& plan, TimePoint now, TimePoint startedAt);
 
     const Settings& settings_;
 };
--- a/src/decision/quota/counter_ledger.cpp
+++ b/src/decision/quota/counter_ledger.cpp
@@ -1,223 +1,217 @@
 #include "decision/quota/counter_ledger.h"
 
 #include <algorithm>
-#include <utility>
 
 #include "decision/common/arithmetic.h"
-#include "decision/quota/slice_key.h"
 
 namespace gateway {
 namespace {
 
-constexpr double kFlushDelay = 0.1;  // of a slice, before pending cost goes out without a next add
-// From where a sum's shortage is a loss: of a burst, with reconciliation; in cost, without.
-constexpr double kMinLostBurst = 0.5;
-constexpr double kMinLostCost = 0.5;
-constexpr double kDebtReadUse = 0.5;    // quota use from which a closed slice is read of a crowded counter
-constexpr double kOpeningMargin = 0.5;  // cost by which the sum of the add that opens a slice may differ
-
-// An add without a reply, or with one that can't be read, was most likely counted: a crowded counter works on
-// calls that nobody waits for. Posting it again would shut out a tenant that has room; if it was lost, the
-// next sum falls short of what was posted.
+constexpr double kFlushDelaySliceShare = 0.1;
+// Least shortage of a total that is taken for lost counts.
+constexpr double kMinLostBurstShare = 0.5;  // with reconciliation
+constexpr double kMinLostCost = 0.5;        // without
+constexpr double kDebtReadUtilization = 0.5;
+constexpr double kOpeningCostMargin =
+    0.5;  // by which the total of the call that opens a slice may exceed its charge
+
+// The counter has most likely counted a call without a reply or with a malformed one: a congested counter
+// still works on calls that nobody waits for. Posting such a call again could exhaust the tenant's quota. If
+// it was lost, the next total is short of what was posted.
 bool wasCounted(Outcome outcome) {
     return outcome == Outcome::ok || outcome == Outcome::timedOut || outcome == Outcome::reset;
 }
 
 }  // namespace
 
-void CounterLedger::postCharge(EventContext& context, Tenant& tenant, WindowSlice& slice,
-                               Request& request) const {
-    CounterCall call;
-    call.request = request.key;
-    call.charge = request.charge.amount;
+// ---- Calls and replies ----------------------------------------------------------------------------
+
+void CounterLedger::postCharge(EventContext& context, const Tenant& tenant, WindowSlice& slice,
+                               Request& request) {
     ++request.charge.pendingReplies;
-    slice.hasOwnCalls = true;
-    post(context, tenant, slice, std::move(call));
+    post(context, tenant, slice, slice.beginChargeCall(request.key, request.charge.amount));
 }
 
-CounterCall& CounterLedger::post(EventContext& context, const Tenant& tenant, WindowSlice& slice,
-                                 CounterCall call) const {
-    CounterCall& begun = slice.beginCall(std::move(call));
-    context.act(AddToCounter{formatSliceKey({tenant.id, slice.index}), begun.amount,
-                             counterNameLifetime(parts_.usage.planOf(tenant))});
-    return begun;
+void CounterLedger::post(EventContext& context, const Tenant& tenant, const WindowSlice& slice,
+                         const CounterCall& call) const {
+    context.act(AddToCounter{formatSliceKey({tenant.id, slice.index()}), call.amount(),
+                             counterNameLifetime(usage_.planOf(tenant))});
 }
 
-CounterLedger::ReplyResult CounterLedger::onReply(EventContext& context, const CounterReplied& reply) const {
+CounterLedger::ReplyResult CounterLedger::onReply(EventContext& context, const CounterReplied& reply) {
     const SliceKey key = parseSliceKey(reply.name);
     ReplyResult result;
     result.ok = reply.outcome == Outcome::ok;
     result.tenant = key.tenant;
-    parts_.sampler.observe(reply, context.now);
-    Tenant* tenant = parts_.tenants.find(key.tenant);
+    sampler_.recordReply(reply, context.now);
+    Tenant* tenant = tenants_.find(key.tenant);
     WindowSlice* slice = tenant == nullptr ? nullptr : findSlice(*tenant, key.index);
-    if (slice == nullptr || slice->calls.empty()) return result;
+    if (slice == nullptr || !slice->hasCallInFlight()) return result;
     result.slicePosition = static_cast<std::size_t>(slice - tenant->slices.data());
-    CounterCall call = std::move(slice->calls.front());
-    slice->calls.pop_front();
+    const CounterCall call = slice->endOldestCall();
+    result.reader = call.reader();
     if (!wasCounted(reply.outcome)) slice->withdraw(call);
-    if (result.ok) applyTotal(context, *tenant, *slice, call, reply.total);
-    if (result.ok && !call.readers.empty()) carryDebt(context, *tenant, *slice);
-    Request* request = parts_.requests.find(call.request);
-    if (call.admission == Admission::pending && request != nullptr) {
-        confirmCharge(context, *tenant, call, *request, reply, key.index);
-        result.charged = call.request;
+    if (result.ok) applyTotal(*tenant, *slice, call, reply.total, context.now);
+    if (result.ok && call.reader() != RequestKey::none) carryDebt(context, *tenant, *slice);
+    Request* request = requests_.find(call.request());
+    if (call.admission() == Admission::pending && request != nullptr) {
+        result.charged = call.request();
+        recordChargeReply(*request, reply.outcome);
+        if (result.ok) readClosedSlice(context, *tenant, call, *request, reply);
     }
-    result.readers = std::move(call.readers);
     return result;
 }
 
-void CounterLedger::afterReply(EventContext& context, const ReplyResult& result) const {
-    Tenant* tenant = parts_.tenants.find(result.tenant);
+void CounterLedger::afterReply(EventContext& context, const ReplyResult& result) {
+    Tenant* tenant = tenants_.find(result.tenant);
     if (tenant == nullptr || !result.slicePosition || !result.ok) return;
     if (*result.slicePosition >= tenant->slices.size()) return;
     WindowSlice& slice = tenant->slices[*result.slicePosition];
     if (slice.hasPending()) scheduleFlush(context, *tenant, slice);
 }
 
-void CounterLedger::applyTotal(EventContext& context, Tenant& tenant, WindowSlice& slice,
-                               const CounterCall& call, double total) const {
-    const QuotaPlan& plan = parts_.usage.planOf(tenant);
+void CounterLedger::applyTotal(Tenant& tenant, WindowSlice& slice, const CounterCall& call, double total,
+                               TimePoint now) {
+    const QuotaPlan& plan = usage_.planOf(tenant);
     const double lost = lostCost(plan, call, total);
-    slice.applyTotal(call, total + lost, context.now);
-    slice.repost(lost);
-    tenant.usage.totalAt = context.now;
-    // The others have admitted meanwhile what they did not post yet, as this gateway had.
-    slice.othersSince = parts_.usage.othersWhile(tenant, call.carriedUnverified);
-    const double burst = std::max(plan.burst, parts_.settings.maxRequestCost);
-    const double most = burst + plan.rate * sliceSeconds(plan);
-    const double age = sliceAgeSeconds(tenant.id, plan, slice.index, context.now);
-    const double full = std::min(most, most + plan.rate * (age - sliceSeconds(plan))) - slice.forfeited;
-    if (plan.ceilingRate > 0 && lost <= 0 && slice.total <= full)
-        parts_.ceiling.giveBack(tenant, plan, call.unverified);
-}
-
-// Counts were lost (the counter came back empty): what this gateway had posted goes in again. With
-// reconciliation others' refunds lower a sum too, so there it takes more than those explain.
+    // Meanwhile the other gateways have admitted cost that they had not posted yet, as this gateway had.
+    const double remote = usage_.estimatedRemoteUsage(tenant, call.carriedUnconfirmed());
+    slice.applyTotal(call, {.sum = total, .lost = lost, .estimatedRemote = remote, .reportedAt = now});
+    tenant.usage.recordTotal(now);
+    if (plan.ceilingRate > 0 && lost <= 0 && window_.isWithinQuota(tenant, slice, now))
+        ceiling_.refundConfirmed(tenant, plan, call.unconfirmed());
+}
+
+// A total that is short of what this gateway has posted shows that the counter lost counts. With
+// reconciliation, refunds of other gateways lower a total too, so only a larger shortage counts.
 double CounterLedger::lostCost(const QuotaPlan& plan, const CounterCall& call, double total) const {
-    const double lost = call.postedSoFar - total;
-    const double least = parts_.settings.reconciliationEnabled
-                             ? std::max(parts_.settings.maxRequestCost, kMinLostBurst * plan.burst)
-                             : kMinLostCost;
-    return lost < least ? 0 : lost;
+    const double shortage = call.postedUpToHere() - total;
+    const double minLost = settings_.reconciliationEnabled
+                               ? std::max(settings_.maxRequestCost, kMinLostBurstShare * plan.burst)
+                               : kMinLostCost;
+    return shortage < minLost ? 0 : shortage;
 }
 
-void CounterLedger::confirmCharge(EventContext& context, Tenant& tenant, const CounterCall& call,
-                                  Request& request, const CounterReplied& reply,
-                                  SliceIndex sliceIndex) const {
-    const bool ok = reply.outcome == Outcome::ok;
+void CounterLedger::recordChargeReply(Request& request, Outcome outcome) const {
     QuotaCharge& charge = request.charge;
-    charge.posted = wasCounted(reply.outcome);
-    if (!charge.posted) charge.amount = request.arrival.cost;  // it stands for no other then
-    charge.confirmed = ok;
-    // The one whose add opened the slice reads the closed one before it and carries its debt over.
-    WindowSlice* closed = findSlice(tenant, previousSlice(sliceIndex));
-    if (!ok || closed == nullptr || !mayCarryDebt(tenant, *closed, context.now)) return;
-    const bool openedSlice = call.postedSoFar == call.charge && reply.total <= call.charge + kOpeningMargin;
+    charge.posted = wasCounted(outcome);
+    charge.confirmed = outcome == Outcome::ok;
+    // A call that was not counted covers no unsampled requests: only its own cost is charged.
+    if (!charge.posted) charge.amount = request.arrival.cost;
+}
+
+// The request whose call opened a slice also reads the closed slice before it, so that one gateway carries
+// its debt forward.
+void CounterLedger::readClosedSlice(EventContext& context, Tenant& tenant, const CounterCall& call,
+                                    Request& request, const CounterReplied& reply) {
+    WindowSlice* closed = findSlice(tenant, previousSlice(request.charge.sliceIndex));
+    if (closed == nullptr || !shouldReadClosedSlice(tenant, *closed, context.now)) return;
+    const bool openedSlice =
+        call.postedUpToHere() == call.charge() && reply.total <= call.charge() + kOpeningCostMargin;
     if (!openedSlice) return;
-    post(context, tenant, *closed, {}).readers.push_back(request.key);
-    ++charge.pendingReplies;
+    post(context, tenant, *closed, closed->beginReadCall(request.key));
+    ++request.charge.pendingReplies;
 }
 
-// A crowded counter isn't asked for a closed slice that was far from full as far as is known here.
-bool CounterLedger::mayCarryDebt(const Tenant& tenant, const WindowSlice& closed, TimePoint now) const {
-    return !parts_.sampler.isCrowded() || parts_.window.quotaUse(tenant, closed, now) > kDebtReadUse;
+// A congested counter is not called for a closed slice whose known usage was far below the quota.
+bool CounterLedger::shouldReadClosedSlice(const Tenant& tenant, const WindowSlice& closed,
+                                          TimePoint now) const {
+    return !sampler_.isCongested() || window_.quotaUtilization(tenant, closed, now) > kDebtReadUtilization;
 }
 
-void CounterLedger::carryDebt(EventContext& context, Tenant& tenant, const WindowSlice& closed) const {
-    WindowSlice* next = findSlice(tenant, nextSlice(closed.index));
-    if (next == nullptr || next->debtCarried) return;
-    next->debtCarried = true;
-    const double sum = closed.total + parts_.window.unsummedCost(tenant, closed) + closed.forfeited;
-    const double debt = debtOf(parts_.usage.planOf(tenant), sum);
-    if (debt <= 0) return;
-    next->total += debt;
-    next->pendingCharge += debt;
-    post(context, tenant, *next, {});
+void CounterLedger::carryDebt(EventContext& context, Tenant& tenant, const WindowSlice& closed) {
+    WindowSlice* next = findSlice(tenant, nextSlice(closed.index()));
+    if (next == nullptr || next->hasCarriedDebt()) return;
+    const double total = closed.total() + window_.costSinceTotal(tenant, closed) + closed.expiredBurst();
+    const double debt = QuotaWindow::debtOf(usage_.planOf(tenant), total);
+    next->carryDebt(debt);
+    if (debt > 0) post(context, tenant, *next, next->beginFlushCall());
 }
 
-void CounterLedger::bookAdmitted(const Tenant& tenant, WindowSlice& slice, const Request& request,
-                                 bool unconfirmed) const {
+// ---- Admissions, refunds and reconciliations --------------------------------------------------------
+
+void CounterLedger::recordAdmitted(const Tenant& tenant, WindowSlice& slice, const Request& request) {
     const double cost = request.arrival.cost;
-    slice.ownAdmitted += cost;
-    CounterCall* call = slice.resolveCall(request.key, Admission::admitted);
-    if (call != nullptr) {
-        if (unconfirmed) call->unverified += cost;
-    } else if (!request.charge.posted && !request.charge.coveredBySamples) {
-        slice.pendingCharge += cost;
-        if (unconfirmed) slice.pendingUnverified += cost;
-    }
-    if (!request.charge.confirmed) parts_.window.noteUnconfirmed(tenant, slice, cost);
+    slice.recordAdmitted(request.key, request.charge, cost);
+    if (!request.charge.confirmed) slice.addUnconfirmed(unconfirmedCost(tenant, cost));
 }
 
-void CounterLedger::refundRejected(EventContext& context, const Request& request, WindowSlice* slice) const {
+void CounterLedger::refundRejected(EventContext& context, const Request& request, WindowSlice* slice) {
     if (slice == nullptr) return;
-    const bool inFlight = slice->resolveCall(request.key, Admission::rejected) != nullptr;
-    if (!inFlight && !request.charge.posted) return;
-    slice->addRefund(request.charge.amount, request.charge.confirmed);
-    flush(context, {request.arrival.tenant, slice->index});
+    const bool refunded = slice->refundRejected(request.key, request.charge);
+    if (refunded) flush(context, {request.arrival.tenant, slice->index()});
 }
 
-void CounterLedger::refundUnsent(EventContext& context, const Request& request) const {
-    Tenant* tenant = parts_.tenants.find(request.arrival.tenant);
-    if (parts_.settings.plans.empty() || tenant == nullptr) return;
+void CounterLedger::refundUnsent(EventContext& context, const Request& request) {
+    Tenant* tenant = tenants_.find(request.arrival.tenant);
+    if (settings_.plans.empty() || tenant == nullptr) return;
     const QuotaCharge& charge = request.charge;
     const double cost = request.arrival.cost;
     WindowSlice* slice = findSlice(*tenant, charge.sliceIndex);
     if (slice != nullptr && !charge.coveredBySamples) {
-        slice->ownAdmitted -= cost;
-        slice->addRefund(request.charge.amount, request.charge.confirmed);
-        if (!charge.confirmed && !charge.posted)
-            slice->pendingUnverified = std::max(0.0, slice->pendingUnverified - cost);
-        if (!charge.confirmed) parts_.window.noteUnconfirmed(*tenant, *slice, -cost);
+        slice->refundAdmitted(charge, cost);
+        if (!charge.confirmed) slice->addUnconfirmed(unconfirmedCost(*tenant, -cost));
         scheduleFlush(context, *tenant, *slice);
     }
-    if (charge.fromCeiling) tenant->ceiling.tokens += cost;
+    if (charge.drawnFromCeiling) CeilingBucket::refundUnsent(*tenant, cost);
 }
 
 void CounterLedger::reconcile(EventContext& context, Tenant& tenant, const Request& request,
-                              double difference) const {
-    const QuotaPlan& plan = parts_.usage.planOf(tenant);
-    if (tenant.plan != request.arrival.plan || plan.rate <= 0 || difference == 0) return;
-    WindowSlice& current = parts_.window.advance(tenant, context.now);
-    current.ownAdmitted += difference;
-    current.pendingCharge += difference;
-    current.admittedSince += difference;
+                              double difference) {
+    const bool hasChangedPlan = tenant.plan != request.arrival.plan;
+    if (hasChangedPlan || usage_.planOf(tenant).rate <= 0 || difference == 0) return;
+    WindowSlice& current = window_.advance(tenant, context.now);
+    current.reconcile(difference);
     scheduleFlush(context, tenant, current);
 }
 
-void CounterLedger::scheduleFlush(EventContext& context, const Tenant& tenant, WindowSlice& slice) const {
-    if (slice.flushScheduled || !parts_.settings.counterEnabled) return;
-    slice.flushScheduled = true;
-    const double delay = kFlushDelay * sliceSeconds(parts_.usage.planOf(tenant));
-    context.setTimer(FlushDue{{tenant.id, slice.index}}, fromSeconds(delay));
+UnconfirmedCost CounterLedger::unconfirmedCost(const Tenant& tenant, double cost) const {
+    return {.local = cost, .estimatedRemote = usage_.estimatedRemoteUsage(tenant, cost)};
 }
 
-void CounterLedger::flush(EventContext& context, const SliceKey& key) const {
-    Tenant* tenant = parts_.tenants.find(key.tenant);
+// ---- Flushes ----------------------------------------------------------------------------------------
+
+void CounterLedger::scheduleFlush(EventContext& context, const Tenant& tenant, WindowSlice& slice) {
+    if (slice.isFlushScheduled() || !settings_.counterEnabled) return;
+    slice.setFlushScheduled(true);
+    const double delay = kFlushDelaySliceShare * sliceSeconds(usage_.planOf(tenant));
+    context.setTimer(FlushDue{{tenant.id, slice.index()}}, fromSeconds(delay));
+}
+
+void CounterLedger::flush(EventContext& context, const SliceKey& key) {
+    Tenant* tenant = tenants_.find(key.tenant);
     WindowSlice* slice = tenant == nullptr ? nullptr : findSlice(*tenant, key.index);
     if (slice == nullptr) return;
-    slice->flushScheduled = false;
-    // While the counter is silent the next add carries it.
-    if (!slice->hasPending() || parts_.sampler.isSilent()) return;
-    if (isDroppedBySampling(context, *tenant, *slice)) return;
-    if (parts_.sampler.drawCall(context.random)) {
-        post(context, *tenant, *slice, {});
-        return;
+    slice->setFlushScheduled(false);
+    // While the counter is unavailable, what is pending waits for the next call for the slice.
+    if (!slice->hasPending() || sampler_.isUnavailable()) return;
+    if (mustSampleReconciliations(*tenant, *slice)) {
+        const bool sampled = samplePendingCharge(context, *slice);
+        if (!sampled) return;
     }
-    scheduleFlush(context, *tenant, *slice);  // crowded: later, with what has come up until then
-}
-
-// A crowded counter can't take a call for every reconciliation where no next add comes that could carry it:
-// one in some goes out and stands for the others, so that in sum the true cost is reconciled.
-bool CounterLedger::isDroppedBySampling(EventContext& context, const Tenant& tenant,
-                                        WindowSlice& slice) const {
-    if (!parts_.sampler.isCrowded() || slice.pendingRefund != 0) return false;
-    if (!parts_.usage.reliesOnMeter(tenant)) return false;
-    const double probability = parts_.sampler.reconciliationProbability();
-    const bool dropped = context.random.next() >= probability;
-    slice.pendingCharge = dropped ? 0 : slice.pendingCharge / probability;
-    return dropped;
+    const bool postsNow = sampler_.drawPostponableCall(context.random);
+    if (postsNow)
+        post(context, *tenant, *slice, slice->beginFlushCall());
+    else
+        scheduleFlush(context, *tenant, *slice);
+}
+
+// A congested counter can't take a call for every reconciliation of a tenant whose next call for the slice
+// may never come.
+bool CounterLedger::mustSampleReconciliations(const Tenant& tenant, const WindowSlice& slice) const {
+    return sampler_.isCongested() && slice.pendingRefund() == 0 && usage_.reliesOnMeter(tenant);
+}
+
+// Returns whether the pending charge is in the sample. It is weighted then, so that on average the actual
+// cost is reconciled; otherwise it is dropped.
+bool CounterLedger::samplePendingCharge(EventContext& context, WindowSlice& slice) {
+    const double probability = sampler_.reconciliationProbability();
+    const bool sampled = context.random.next() < probability;
+    if (sampled)
+        slice.weightPendingCharge(probability);
+    else
+        slice.dropPendingCharge();
+    return sampled;
 }
 
 }  // namespace gateway
--- a/src/decision/quota/counter_ledger.h
+++ b/src/decision/quota/counter_ledger.h
@@ -1,12 +1,13 @@
-// What this gateway posts to the counter: charges, refunds and reconciliations of tenants' window slices.
+// What this gateway posts to the counter service: charges, refunds and reconciliations of tenants' window
+// slices.
 //
-// Refunds and reconciliations ride on the next add to their slice, or go out by themselves soon after.
-// Reconciliation is the post-request weight correction of the thesis: the true cost less the charge.
+// Refunds and reconciliations are carried by the next call for their slice, or are flushed soon after. A
+// reconciliation is Šnuderl's post-request weight correction: the actual cost less the charge. A debt beyond
+// a closed slice's rate is carried forward into the next slice.
 #pragma once
 
 #include <cstddef>
 #include <optional>
-#include <vector>
 
 #include "decision/engine/event_context.h"
 #include "decision/engine/request_table.h"
@@ -18,74 +19,84 @@
 
 namespace gateway {
 
+// Owns no state: it changes the slices and ceiling tokens of tenants, the charges of requests and the
+// sampler.
 class CounterLedger {
 public:
-    // What a reply of the counter brought.
+    // What a reply of the counter was for.
     struct ReplyResult {
-        RequestKey charged = RequestKey::none;  // whose charge it answers and who still waits
-        std::vector<RequestKey> readers;        // requests that waited for the slice's sum only
-        bool ok = false;                        // it reported a sum
+        RequestKey charged = RequestKey::none;  // the undecided request whose charge the call posted
+        RequestKey reader = RequestKey::none;   // the request that waited for the slice's total only
+        bool ok = false;                        // the counter reported a total
         TenantId tenant{};
-        // Where the slice stood in Tenant::slices when the reply came; nothing where it is not known. If
-        // dealing with the requests opens a new slice, another one stands there in afterReply(): see "Known
-        // faults" in docs/design.md.
+        // Position of the slice in Tenant::slices when the reply came; nothing if the slice is unknown. If
+        // the decisions on the requests open a new slice, afterReply() finds another slice at that position:
+        // see "Known faults" in docs/design.md.
         std::optional<std::size_t> slicePosition;
     };
 
-    struct Parts {
-        const Settings& settings;
-        const UsageEstimator& usage;
-        const QuotaWindow& window;
-        const CeilingBucket& ceiling;
-        CounterSampler& sampler;
-        TenantTable& tenants;
-        RequestTable& requests;
-    };
-
-    // All parts must outlive the ledger.
-    explicit CounterLedger(const Parts& parts) : parts_(parts) {}
+    // All arguments must outlive the ledger.
+    CounterLedger(const Settings& settings, const UsageEstimator& usage, QuotaWindow& window,
+                  CeilingBucket& ceiling, CounterSampler& sampler, TenantTable& tenants,
+                  RequestTable& requests)
+        : settings_(settings),
+          usage_(usage),
+          window_(window),
+          ceiling_(ceiling),
+          sampler_(sampler),
+          tenants_(tenants),
+          requests_(requests) {}
 
-    // Adds the request's charge to the slice, with what is pending there.
-    void postCharge(EventContext& context, Tenant& tenant, WindowSlice& slice, Request& request) const;
+    // Posts the request's charge to the slice, with all that is pending there. The request waits for the
+    // reply.
+    void postCharge(EventContext& context, const Tenant& tenant, WindowSlice& slice, Request& request);
 
-    // Takes in a reply. Where it came for requests, each has one reply less to wait for.
-    ReplyResult onReply(EventContext& context, const CounterReplied& reply) const;
+    // Takes in a reply, or the failure of a call. Each request of the result has one reply less to wait for.
+    // Replies for an unknown slice only inform the sampler.
+    ReplyResult onReply(EventContext& context, const CounterReplied& reply);
 
-    // To be called when the requests of the result were dealt with: what is pending goes out soon.
-    void afterReply(EventContext& context, const ReplyResult& result) const;
+    // Schedules a flush of what is pending. To be called when the requests of the result have been decided.
+    void afterReply(EventContext& context, const ReplyResult& result);
 
-    // An admitted request's charge is booked. `unconfirmed`: without a reply that covers it.
-    void bookAdmitted(const Tenant& tenant, WindowSlice& slice, const Request& request,
-                      bool unconfirmed) const;
+    // Records the cost of an admitted request in the slice.
+    void recordAdmitted(const Tenant& tenant, WindowSlice& slice, const Request& request);
 
-    // A rejected request's charge must not fill the window: it goes back at once, as others read the slice
-    // soon. `slice` may be null.
-    void refundRejected(EventContext& context, const Request& request, WindowSlice* slice) const;
+    // Refunds the charge of a rejected request at once, as other gateways may read the slice's total soon.
+    // `slice` may be null.
+    void refundRejected(EventContext& context, const Request& request, WindowSlice* slice);
 
-    // A request that was charged but reached no endpoint draws nothing from the quota.
-    void refundUnsent(EventContext& context, const Request& request) const;
+    // Refunds the charge of an admitted request that reached no endpoint, and what it drew from the ceiling.
+    void refundUnsent(EventContext& context, const Request& request);
 
-    // The request's true cost is `difference` more than its charge: carried as debt, or as refund if
-    // negative.
-    void reconcile(EventContext& context, Tenant& tenant, const Request& request, double difference) const;
+    // Posts the request's actual cost less its charge as debt, or as refund if negative. Does nothing if the
+    // tenant has changed to another plan since.
+    void reconcile(EventContext& context, Tenant& tenant, const Request& request, double difference);
 
-    // Posts what is pending on the slice, unless the counter can't take it now.
-    void flush(EventContext& context, const SliceKey& key) const;
+    // Posts what is pending on a slice, or schedules a new flush if the counter is congested.
+    void flush(EventContext& context, const SliceKey& key);
 
 private:
-    CounterCall& post(EventContext& context, const Tenant& tenant, WindowSlice& slice,
-                      CounterCall call) const;
-    void applyTotal(EventContext& context, Tenant& tenant, WindowSlice& slice, const CounterCall& call,
-                    double total) const;
+    void post(EventContext& context, const Tenant& tenant, const WindowSlice& slice,
+              const CounterCall& call) const;
+    void applyTotal(Tenant& tenant, WindowSlice& slice, const CounterCall& call, double total, TimePoint now);
     double lostCost(const QuotaPlan& plan, const CounterCall& call, double total) const;
-    void confirmCharge(EventContext& context, Tenant& tenant, const CounterCall& call, Request& request,
-                       const CounterReplied& reply, SliceIndex sliceIndex) const;
-    bool mayCarryDebt(const Tenant& tenant, const WindowSlice& closed, TimePoint now) const;
-    void carryDebt(EventContext& context, Tenant& tenant, const WindowSlice& closed) const;
-    void scheduleFlush(EventContext& context, const Tenant& tenant, WindowSlice& slice) const;
-    bool isDroppedBySampling(EventContext& context, const Tenant& tenant, WindowSlice& slice) const;
-
-    Parts parts_;
+    void recordChargeReply(Request& request, Outcome outcome) const;
+    void readClosedSlice(EventContext& context, Tenant& tenant, const CounterCall& call, Request& request,
+                         const CounterReplied& reply);
+    bool shouldReadClosedSlice(const Tenant& tenant, const WindowSlice& closed, TimePoint now) const;
+    void carryDebt(EventContext& context, Tenant& tenant, const WindowSlice& closed);
+    UnconfirmedCost unconfirmedCost(const Tenant& tenant, double cost) const;
+    void scheduleFlush(EventContext& context, const Tenant& tenant, WindowSlice& slice);
+    bool mustSampleReconciliations(const Tenant& tenant, const WindowSlice& slice) const;
+    bool samplePendingCharge(EventContext& context, WindowSlice& slice);
+
+    const Settings& settings_;
+    const UsageEstimator& usage_;
+    QuotaWindow& window_;
+    CeilingBucket& ceiling_;
+    CounterSampler& sampler_;
+    TenantTable& tenants_;
+    RequestTable& requests_;
 };
 
 }  // namespace gateway
--- a/src/decision/quota/counter_sampler.cpp
+++ b/src/decision/quota/counter_sampler.cpp
@@ -2,66 +2,85 @@
 
 #include <algorithm>
 #include <cmath>
-#include <utility>
 
 #include "decision/common/arithmetic.h"
 
 namespace gateway {
 namespace {
 
-constexpr double kMinRate = 0.1;              // of requests that still call a failing counter
-constexpr double kRateIncrease = 0.01;        // on a quick reply
-constexpr double kRateIncreaseIdle = 0.05;    // for each second since the reply before
-constexpr double kMaxIdleSeconds = 2.0;       // that count for that
-constexpr double kRateCutOnFailure = 0.75;    // factor
-constexpr double kRateCutOnSlowReply = 0.97;  // factor
-constexpr double kSlowReply = 0.3;            // slow: this far from the quickest reply's time to the time-out
-constexpr int kSilentFailures = 4;            // in a row
-constexpr double kValueSmoothing = 0.02;      // weight of a new reply's value in their mean
+constexpr double kMinSampleRate = 0.1;  // of requests; the calls that remain notice the counter's recovery
+constexpr double kRateIncreasePerReply = 0.01;
+constexpr double kRateIncreasePerIdleSecond = 0.05;
+constexpr Duration kMaxIdle = std::chrono::seconds(2);
+constexpr double kFailureRateMultiplier = 0.75;
+constexpr double kSlowReplyRateMultiplier = 0.97;
+constexpr double kSlowReplyShare = 0.3;  // of the way from the quickest reply's time to the time-out
+constexpr int kUnavailableFailures = 4;  // in a row
+constexpr double kReplyValueSmoothing = 0.02;
 constexpr double kMinReconciliationProbability = 0.25;
-constexpr double kMinExponent = 0.2;  // bounds how far a reply's value moves its probability
-constexpr double kMaxExponent = 4.0;
-constexpr double kTiny = 1e-9;      // against division by zero
-constexpr double kTinyTime = 1e-6;  // s
+constexpr double kMinProbabilityExponent = 0.2;
+constexpr double kMaxProbabilityExponent = 4.0;
+constexpr double kMinReplyValue = 1e-9;  // avoids a division by zero
+constexpr Duration kMinTimeout{1};       // avoids a division by zero
 
 }  // namespace
 
-void CounterSampler::observe(const CounterReplied& reply, TimePoint now) {
-    const double idle = std::min(toSeconds(now - std::exchange(observedAt_, now)), kMaxIdleSeconds);
-    // A connection that broke, or a reply that can't be read, tells nothing of how crowded the counter is.
-    if (reply.outcome == Outcome::reset && consecutiveFailures_ + 1 < kSilentFailures) return noteFailure();
-    if (reply.outcome != Outcome::ok) {
-        noteFailure();
-        rate_ = std::max(kMinRate, rate_ * kRateCutOnFailure);
+void CounterSampler::recordReply(const CounterReplied& reply, TimePoint now) {
+    const Duration idle = now - repliedAt_;
+    repliedAt_ = now;
+    if (reply.outcome == Outcome::ok) {
+        recordTotal(reply.elapsed, idle);
         return;
     }
-    const double time = toSeconds(reply.elapsed) / std::max(toSeconds(counterTimeout_), kTinyTime);
-    quickestReply_ = std::min(quickestReply_, time);
-    if (isSilent()) rate_ = std::max(rate_, rateBeforeFailures_ / 2);
+    // A broken connection or a malformed reply does not indicate congestion.
+    const bool indicatesCongestion =
+        reply.outcome != Outcome::reset || consecutiveFailures_ + 1 >= kUnavailableFailures;
+    recordFailure();
+    if (indicatesCongestion) sampleRate_ = std::max(kMinSampleRate, sampleRate_ * kFailureRateMultiplier);
+}
+
+void CounterSampler::recordFailure() {
+    if (consecutiveFailures_ == 0) sampleRateBeforeFailures_ = sampleRate_;
+    ++consecutiveFailures_;
+}
+
+void CounterSampler::recordTotal(Duration elapsed, Duration idle) {
+    const double timeoutShare = toSeconds(elapsed) / toSeconds(std::max(counterTimeout_, kMinTimeout));
+    quickestReplyShare_ = std::min(quickestReplyShare_, timeoutShare);
+    if (isUnavailable()) sampleRate_ = std::max(sampleRate_, sampleRateBeforeFailures_ / 2);
     consecutiveFailures_ = 0;
-    const bool slow = time > quickestReply_ + (1 - quickestReply_) * kSlowReply;
-    rate_ = slow ? std::max(kMinRate, rate_ * kRateCutOnSlowReply)
-                 : std::min(1.0, rate_ + kRateIncrease + kRateIncreaseIdle * idle);
+    const bool isSlow = timeoutShare > quickestReplyShare_ + (1 - quickestReplyShare_) * kSlowReplyShare;
+    if (isSlow) {
+        sampleRate_ = std::max(kMinSampleRate, sampleRate_ * kSlowReplyRateMultiplier);
+        return;
+    }
+    const double idleSeconds = toSeconds(std::min(idle, kMaxIdle));
+    sampleRate_ =
+        std::min(1.0, sampleRate_ + kRateIncreasePerReply + kRateIncreasePerIdleSecond * idleSeconds);
+}
+
+bool CounterSampler::isUnavailable() const {
+    return consecutiveFailures_ >= kUnavailableFailures;
 }
 
-void CounterSampler::noteFailure() {
-    if (consecutiveFailures_++ == 0) rateBeforeFailures_ = rate_;
+void CounterSampler::recordReplyValue(double replyValue) {
+    const bool isFirst = meanReplyValue_ <= 0;
+    meanReplyValue_ = isFirst ? replyValue : movingAverage(meanReplyValue_, replyValue, kReplyValueSmoothing);
 }
 
-bool CounterSampler::isSilent() const {
-    return consecutiveFailures_ >= kSilentFailures;
+double CounterSampler::sampleProbability(double replyValue) const {
+    if (!isCongested()) return 1;
+    const double exponent = meanReplyValue_ / std::max(replyValue, kMinReplyValue);
+    return std::pow(sampleRate_, std::clamp(exponent, kMinProbabilityExponent, kMaxProbabilityExponent));
 }
 
-double CounterSampler::probabilityFor(double replyValue) {
-    meanReplyValue_ =
-        meanReplyValue_ > 0 ? movingAverage(meanReplyValue_, replyValue, kValueSmoothing) : replyValue;
-    if (!isCrowded()) return 1;
-    const double exponent = meanReplyValue_ / std::max(replyValue, kTiny);
-    return std::pow(rate_, std::clamp(exponent, kMinExponent, kMaxExponent));
+bool CounterSampler::drawPostponableCall(RandomSource& random) const {
+    if (!isCongested()) return true;
+    return random.next() < sampleRate_;
 }
 
 double CounterSampler::reconciliationProbability() const {
-    return std::max(rate_, kMinReconciliationProbability);
+    return std::max(sampleRate_, kMinReconciliationProbability);
 }
 
 }  // namespace gateway
--- a/src/decision/quota/counter_sampler.h
+++ b/src/decision/quota/counter_sampler.h
@@ -1,9 +1,9 @@
-// How often the counter is called.
+// Decides how often the counter service is called.
 //
-// Replies that come near the time-out or are turned away tell of a crowded counter: the rate of calls settles
-// where few fail. A run of failures tells of a silent one: it is called a little to notice its return, and
-// then half as often as before. Guards the counter from being hammered and requests from waiting in vain; a
-// passing hiccup costs a little accuracy.
+// Slow replies and rejected calls indicate a congested counter: the sample rate then settles where few calls
+// fail. A run of failures indicates an unavailable counter: a small share of the calls continues, to notice
+// its return, and the rate resumes at half of what it was. The sampler protects the counter from overload and
+// requests from useless waits.
 #pragma once
 
 #include "decision/common/random_source.h"
@@ -11,39 +11,49 @@
 
 namespace gateway {
 
+// Owns the sample rate of one gateway. It keeps no reference to anything.
 class CounterSampler {
 public:
+    // `counterTimeout`: after which a call to the counter counts as failed.
     explicit CounterSampler(Duration counterTimeout) : counterTimeout_(counterTimeout) {}
 
-    // Learns from a reply, or from what became of a call that got none.
-    void observe(const CounterReplied& reply, TimePoint now);
+    // Adapts the rate to a reply, or to the failure of a call.
+    void recordReply(const CounterReplied& reply, TimePoint now);
 
-    // Several calls in a row failed: nobody should wait for a reply.
-    bool isSilent() const;
+    // Whether several calls in a row have failed, so that no request should wait for a reply.
+    bool isUnavailable() const;
 
-    // The counter takes less than a call for each request.
-    bool isCrowded() const { return rate_ < 1; }
+    // Whether the counter takes less than one call per request.
+    bool isCongested() const { return sampleRate_ < 1; }
 
-    // The counterSampleProbability of a request. A crowded counter is called where its reply is worth most;
-    // the mean over all requests stays near the sample rate. `replyValue` is above 0, in any unit.
-    double probabilityFor(double replyValue);
+    // Includes the value that the counter's reply would have for a request in the mean of these values.
+    // `replyValue` is above 0, in any unit.
+    void recordReplyValue(double replyValue);
 
-    // Draws whether a call that can wait goes out now.
-    bool drawCall(RandomSource& random) const { return !isCrowded() || random.next() < rate_; }
+    // The probability with which a request calls the counter, given the value of the reply. A congested
+    // counter is called where the reply is worth most; the mean over all requests stays near the sample rate.
+    // Precondition: recordReplyValue() was called.
+    double sampleProbability(double replyValue) const;
 
-    // How likely a charge that nothing else would carry is posted while the counter is crowded.
+    // Draws whether a call that can be postponed is made now. Without congestion it always is, and nothing is
+    // drawn.
+    bool drawPostponableCall(RandomSource& random) const;
+
+    // The probability with which a reconciliation that no other call would carry is posted to a congested
+    // counter.
     double reconciliationProbability() const;
 
 private:
-    void noteFailure();
+    void recordFailure();
+    void recordTotal(Duration elapsed, Duration idle);
 
     Duration counterTimeout_;
-    double rate_ = 1;  // counterSampleRate: share of requests that call the counter
-    double rateBeforeFailures_ = 1;
-    double quickestReply_ = 1;  // as a share of the time-out
+    double sampleRate_ = 1;  // mean share of the requests that call the counter
+    double sampleRateBeforeFailures_ = 1;
+    double quickestReplyShare_ = 1;  // time of the quickest reply, as a share of the time-out
     double meanReplyValue_ = 0;
     int consecutiveFailures_ = 0;
-    TimePoint observedAt_{};
+    TimePoint repliedAt_{};
 };
 
 }  // namespace gateway
--- a/src/decision/quota/quota_admission.cpp
+++ b/src/decision/quota/quota_admission.cpp
@@ -8,123 +8,171 @@
 namespace gateway {
 namespace {
 
-constexpr double kMinQuotaUse = 0.1;    // that a tenant is taken to have, where a reply is valued
-constexpr double kFreshReply = 0.1;     // share of a slice before which a tenant's next reply is worth less
-constexpr double kMaxSampleWeight = 2;  // of the add of a sampled request, itself in
-constexpr double kMaxSparseSampleWeight = 8;  // the same for a tenant that is sparse here
-constexpr double kRejectedSmoothing = 0.02;   // weight of a new reply in the share without room
-constexpr double kMeterExponent = 4;  // how steeply fewer are admitted unconfirmed as the use nears the quota
-constexpr double kMeterMargin = 0.25;  // of the quota: from so far under it, where one too many earns nothing
-constexpr double kMinUse = 1e-9;       // against division by zero
+constexpr double kMinReplyUtilization = 0.1;  // lower bounds of the factors of a reply's value
+constexpr double kMinReplyAgeShare = 0.1;
+constexpr double kMinReplyPenalty = 0.1;
+constexpr double kFreshReplySliceShare = 0.1;  // a reply is worth less this soon after the one before
+constexpr double kMaxSampleWeight = 2;         // including the sampled request itself
+constexpr double kMaxLowTrafficSampleWeight = 8;
+constexpr double kRejectedReplySmoothing = 0.02;
+constexpr double kMeterExponent = 4;  // how steeply admissions fall as utilization passes its limit
+constexpr double kMeterMarginQuotaShare =
+    0.25;  // by which the limit falls at the full cost of an over-quota request
+constexpr double kMinUtilization = 1e-9;  // avoids a division by zero
 
 }  // namespace
 
-QuotaAdmission::QuotaAdmission(const CounterLedger::Parts& parts, const CounterLedger& ledger)
-    : parts_(parts), ledger_(ledger), rejectedShare_(parts.settings.plans.size(), 0) {}
+// ---- Arrival --------------------------------------------------------------------------------------
 
-QuotaAdmission::Start QuotaAdmission::start(EventContext& context, Request& request) const {
-    Tenant& tenant = parts_.tenants.touch(request.arrival, context.now);
-    if (parts_.usage.planOf(tenant).rate <= 0) return Start::decideNow;
+QuotaAdmission::Start QuotaAdmission::start(EventContext& context, Request& request) {
+    Tenant& tenant = tenants_.touch(request.arrival, context.now);
+    if (usage_.planOf(tenant).rate <= 0) return Start::decideNow;
     const double cost = request.arrival.cost;
-    WindowSlice& current = parts_.window.advance(tenant, context.now);
-    request.charge.sliceIndex = current.index;
+    WindowSlice& current = window_.advance(tenant, context.now);
+    request.charge.sliceIndex = current.index();
     request.charge.amount = cost;
-    if (parts_.window.isKnownFull(tenant, cost, context.now)) return Start::rejected;
-    if (!parts_.settings.counterEnabled) return Start::decideNow;
-    // A crowded counter is called less: a frequent tenant's next add carries what is admitted meanwhile; of
-    // one that has no call out for this slice, a sampled request's add stands for the others.
-    const bool mayStandForOthers = !current.hasOwnCalls && !parts_.sampler.isSilent();
-    parts_.usage.noteDemand(tenant, cost, context.now);
-    const double probability = parts_.sampler.probabilityFor(replyValue(tenant, current, context.now));
-    if (probability < 1 && context.random.next() >= probability) {
-        request.charge.coveredBySamples = mayStandForOthers;
-        return Start::decideNow;
+    if (current.total() > 0) {
+        window_.expireCurrentSliceBurst(tenant, context.now);
+        // Rejecting now keeps the charge, which would soon be refunded, out of the totals that other gateways
+        // read.
+        if (!window_.remainingQuota(tenant, current, current.total(), context.now).covers(cost))
+            return Start::rejected;
     }
-    if (mayStandForOthers) request.charge.amount = cost * std::min(maxSampleWeight(tenant), 1 / probability);
+    if (!settings_.counterEnabled) return Start::decideNow;
+    const bool sampled = isSampled(context, tenant, current, request);
+    if (!sampled) return Start::decideNow;
     ledger_.postCharge(context, tenant, current, request);
-    // A counter that mostly fails is called to notice its return, but nobody waits for it.
-    return parts_.sampler.isSilent() ? Start::decideNow : Start::waiting;
+    // Calls to an unavailable counter serve to notice its return; no request waits for their replies.
+    return sampler_.isUnavailable() ? Start::decideNow : Start::waiting;
 }
 
-Duration QuotaAdmission::retryAfter(EventContext& context, const Request& request) const {
-    Tenant* tenant = parts_.tenants.find(request.arrival.tenant);
+// Draws whether the request calls the counter and sets its charge accordingly. A congested counter is called
+// less. The next call of a frequent tenant carries what is admitted meanwhile; for a tenant without a call in
+// this slice, the sample weight of the requests that are sampled covers the others.
+bool QuotaAdmission::isSampled(EventContext& context, Tenant& tenant, const WindowSlice& current,
+                               Request& request) {
+    const double cost = request.arrival.cost;
+    const bool isWeighted = !current.hasChargeCalls() && !sampler_.isUnavailable();
+    tenant.usage.recordDemand(cost, sliceSeconds(usage_.planOf(tenant)), context.now);
+    const double value = replyValue(tenant, current, context.now);
+    sampler_.recordReplyValue(value);
+    const double probability = sampler_.sampleProbability(value);
+    const bool sampled = probability >= 1 || context.random.next() < probability;
+    if (!sampled)
+        request.charge.coveredBySamples = isWeighted;
+    else if (isWeighted)
+        request.charge.amount = cost * std::min(maxSampleWeight(tenant), 1 / probability);
+    return sampled;
+}
+
+// The counter's reply is worth most for tenants close to their quota, and where an over-quota request costs
+// most.
+double QuotaAdmission::replyValue(const Tenant& tenant, const WindowSlice& slice, TimePoint now) const {
+    const QuotaPlan& plan = usage_.planOf(tenant);
+    const double utilization =
+        std::clamp(window_.quotaUtilization(tenant, slice, now), kMinReplyUtilization, 1.0);
+    // The meter identifies the few tenants that are close to their quota, so the value concentrates on them.
+    const double weight = usage_.reliesOnMeter(tenant) ? utilization * utilization : utilization;
+    const double age =
+        toSeconds(now - tenant.usage.totalReportedAt()) / (kFreshReplySliceShare * sliceSeconds(plan));
+    return plan.price * (plan.overQuotaPenalty + kMinReplyPenalty) * weight *
+           std::clamp(age, kMinReplyAgeShare, 1.0);
+}
+
+double QuotaAdmission::maxSampleWeight(const Tenant& tenant) const {
+    return usage_.hasLowLocalTraffic(tenant) ? kMaxLowTrafficSampleWeight : kMaxSampleWeight;
+}
+
+Duration QuotaAdmission::retryAfter(const Request& request, TimePoint now) const {
+    const Tenant* tenant = tenants_.find(request.arrival.tenant);
     if (tenant == nullptr) return Duration{};
-    return parts_.window.timeUntilRoom(*tenant, request.arrival.cost, context.now);
+    return window_.timeUntilQuota(*tenant, request.arrival.cost, now);
 }
 
+// ---- Decision -------------------------------------------------------------------------------------
+
 QuotaAdmission::Decision QuotaAdmission::decide(EventContext& context, Request& request,
                                                 TimePoint startedAt) {
-    Tenant& tenant = parts_.tenants.touch(request.arrival, context.now);
-    const QuotaPlan& plan = parts_.usage.planOf(tenant);
-    QuotaCharge& charge = request.charge;
-    const double cost = request.arrival.cost;
-    WindowSlice* slice = nullptr;
-    if (plan.rate > 0) {
-        WindowSlice& current = parts_.window.advance(tenant, context.now);
-        slice = findSlice(tenant, charge.sliceIndex);
-        if (slice == nullptr) slice = &current;
+    Tenant& tenant = tenants_.touch(request.arrival, context.now);
+    WindowSlice* slice = chargedSlice(tenant, request, context.now);
+    const bool admitted = isAdmitted(context, tenant, request, slice, startedAt);
+    if (admitted) {
+        if (slice != nullptr) ledger_.recordAdmitted(tenant, *slice, request);
+        return {.admitted = true};
     }
-    bool admitted = slice == nullptr || fitsWindow(tenant, request, *slice, context.now);
-    if (admitted && !charge.confirmed && parts_.usage.isSparseHere(tenant))
-        admitted = context.random.next() < unconfirmedProbability(tenant, plan);
-    if (plan.concurrency > 0) admitted = admitted && fitsConcurrency(tenant, plan);
-    const bool unconfirmed = !charge.confirmed || slice == nullptr;
-    if (admitted && unconfirmed && plan.ceilingRate > 0) {
-        charge.fromCeiling = parts_.ceiling.take(tenant, plan, cost, context.now, startedAt);
-        admitted = charge.fromCeiling;
+    ledger_.refundRejected(context, request, slice);
+    window_.expireCurrentSliceBurst(tenant, context.now);
+    return {.admitted = false,
+            .retryAfter = window_.timeUntilQuota(tenant, request.arrival.cost, context.now)};
+}
+
+// The slice that the request was charged to, or the current one if that slice has left the window. Null for a
+// plan without a quota.
+WindowSlice* QuotaAdmission::chargedSlice(Tenant& tenant, const Request& request, TimePoint now) {
+    if (usage_.planOf(tenant).rate <= 0) return nullptr;
+    WindowSlice& current = window_.advance(tenant, now);
+    WindowSlice* charged = findSlice(tenant, request.charge.sliceIndex);
+    return charged != nullptr ? charged : &current;
+}
+
+bool QuotaAdmission::isAdmitted(EventContext& context, Tenant& tenant, Request& request, WindowSlice* slice,
+                                TimePoint startedAt) {
+    const QuotaPlan& plan = usage_.planOf(tenant);
+    QuotaCharge& charge = request.charge;
+    if (slice != nullptr) {
+        const bool fits = fitsWindow(tenant, request, *slice, context.now);
+        if (!fits) return false;
     }
-    if (!admitted) {
-        ledger_.refundRejected(context, request, slice);
-        return {false, parts_.window.timeUntilRoom(tenant, cost, context.now)};
+    if (!charge.confirmed && usage_.hasLowLocalTraffic(tenant)) {
+        const double draw = context.random.next();
+        if (draw >= unconfirmedProbability(tenant, plan)) return false;
     }
-    if (slice != nullptr) ledger_.bookAdmitted(tenant, *slice, request, unconfirmed);
-    return {true, Duration{}};
+    if (plan.concurrency > 0 && !fitsConcurrency(tenant, plan)) return false;
+    const bool isUnconfirmed = !charge.confirmed || slice == nullptr;
+    if (!isUnconfirmed || plan.ceilingRate <= 0) return true;
+    charge.drawnFromCeiling = ceiling_.tryDraw(tenant, plan, request.arrival.cost, context.now, startedAt);
+    return charge.drawnFromCeiling;
 }
 
 bool QuotaAdmission::fitsWindow(Tenant& tenant, const Request& request, WindowSlice& slice, TimePoint now) {
     const QuotaCharge& charge = request.charge;
-    const double sliceLength = sliceSeconds(parts_.usage.planOf(tenant));
-    const bool inSum = charge.confirmed && slice.index == charge.sliceIndex;
-    const double sum = parts_.window.estimatedSum(tenant, slice, now) - (inSum ? charge.amount : 0);
-    bool fits = parts_.window.hasRoomFor(tenant, slice, sum, request.arrival.cost, now);
-    if (charge.coveredBySamples && now < tenant.rejectedAt + fromSeconds(sliceLength)) fits = false;
+    const bool isInTotal = charge.confirmed && slice.index() == charge.sliceIndex;
+    const double total = window_.estimatedTotal(tenant, slice, now) - (isInTotal ? charge.amount : 0);
+    window_.expireUnusedBurst(tenant, slice, total, now);
+    bool fits = window_.remainingQuota(tenant, slice, total, now).covers(request.arrival.cost);
+    // The counter does not see this request: a recent rejection of a sampled one applies to it too.
+    const Duration sliceLength = fromSeconds(sliceSeconds(usage_.planOf(tenant)));
+    if (charge.coveredBySamples && now < tenant.rejectedAt + sliceLength) fits = false;
+    recordWindowDecision(tenant, charge, fits, now);
+    return fits;
+}
+
+void QuotaAdmission::recordWindowDecision(Tenant& tenant, const QuotaCharge& charge, bool fits,
+                                          TimePoint now) {
     if (charge.confirmed) {
         tenant.rejectedAt = fits ? TimePoint{} : now;
-        double& rejectedShare = rejectedShare_[toPosition(tenant.plan)];
-        rejectedShare = movingAverage(rejectedShare, fits ? 0 : 1, kRejectedSmoothing);
+        double& rejectedShare = rejectedReplyShares_[toPosition(tenant.plan)];
+        rejectedShare = movingAverage(rejectedShare, fits ? 0 : 1, kRejectedReplySmoothing);
     }
-    if (tenant.rejectedAt == now) tenant.usage.meteredUse = std::max(tenant.usage.meteredUse, 1.0);
-    return fits;
+    if (tenant.rejectedAt == now) tenant.usage.recordExhausted();
 }
 
 bool QuotaAdmission::fitsConcurrency(const Tenant& tenant, const QuotaPlan& plan) const {
-    const double share = std::floor(plan.concurrency * parts_.usage.trafficShare(tenant));
+    const double share = std::floor(plan.concurrency * usage_.trafficShare(tenant));
     return tenant.inFlight < std::max(1.0, share);
 }
 
-// Of a tenant that is sparse here. The meter shows what was sent on: one held to its quota reads 1, so where
-// one too many costs, less is admitted before that. Without a meter: as others of its plan have room.
+// The probability with which a request of a tenant with low local traffic is admitted without a reply of the
+// counter. The meter shows admitted requests only, so a tenant that is held to its quota reads 1: the more an
+// over-quota request costs, the earlier admissions fall. Without a meter they fall with the share of replies
+// that left no quota.
 double QuotaAdmission::unconfirmedProbability(const Tenant& tenant, const QuotaPlan& plan) const {
     const double loss = std::clamp(plan.overQuotaPenalty - plan.overQuotaWeight, 0.0, 1.0);
-    if (parts_.settings.usageMeterPeriod <= Duration{})
-        return 1 - rejectedShare_[toPosition(tenant.plan)] * loss;
-    const double full = 1 - kMeterMargin * loss;
-    return std::pow(std::min(1.0, full / std::max(tenant.usage.meteredUse, kMinUse)), kMeterExponent);
-}
-
-// What the counter's reply is worth: most for tenants that come near their quota, and by what admitting one
-// too many costs.
-double QuotaAdmission::replyValue(const Tenant& tenant, const WindowSlice& slice, TimePoint now) const {
-    const QuotaPlan& plan = parts_.usage.planOf(tenant);
-    double use = std::clamp(parts_.window.quotaUse(tenant, slice, now), kMinQuotaUse, 1.0);
-    if (parts_.usage.reliesOnMeter(tenant))
-        use *= use;  // few come near their quota, and the meter knows them
-    const double age = toSeconds(now - tenant.usage.totalAt) / (kFreshReply * sliceSeconds(plan));
-    return plan.price * (plan.overQuotaPenalty + kMinQuotaUse) * use * std::clamp(age, kMinQuotaUse, 1.0);
-}
-
-double QuotaAdmission::maxSampleWeight(const Tenant& tenant) const {
-    return parts_.usage.isSparseHere(tenant) ? kMaxSparseSampleWeight : kMaxSampleWeight;
+    if (settings_.usageMeterPeriod <= Duration{})
+        return 1 - rejectedReplyShares_[toPosition(tenant.plan)] * loss;
+    const double maxUtilization = 1 - kMeterMarginQuotaShare * loss;
+    const double utilization = std::max(tenant.usage.meteredUtilization(), kMinUtilization);
+    return std::pow(std::min(1.0, maxUtilization / utilization), kMeterExponent);
 }
 
 }  // namespace gateway
--- a/src/decision/quota/quota_admission.h
+++ b/src/decision/quota/quota_admission.h
@@ -1,7 +1,8 @@
-// Admits requests by their tenant's quota, or rejects them at once.
+// Admits or rejects requests by the quota, the ceiling and the concurrency of their tenant's plan.
 //
-// The ordinary path is the thesis's: a request's charge is added to its tenant's window on the counter, and
-// the sum that comes back decides. docs/design.md tells when each exception acts.
+// On the ordinary path, as in Šnuderl's thesis, a request's charge is added to its tenant's window on the
+// counter service, and the total that comes back decides. docs/design.md lists the exceptions and when each
+// acts.
 #pragma once
 
 #include <vector>
@@ -13,41 +14,63 @@
 
 class QuotaAdmission {
 public:
-    // What becomes of a request that has just arrived.
+    // How a request that has just arrived proceeds.
     enum class Start {
-        rejected,   // the last known sums leave no room
-        decideNow,  // without waiting for the counter
-        waiting,    // for the counter
+        rejected,   // the last known total has exhausted the quota
+        decideNow,  // without a reply of the counter
+        waiting,    // for a reply of the counter
     };
 
     struct Decision {
         bool admitted = false;
-        Duration retryAfter{};  // when rejected
+        Duration retryAfter{};  // if rejected: time until the tenant has quota for the request
     };
 
-    // All parts must outlive the admission.
-    explicit QuotaAdmission(const CounterLedger::Parts& parts, const CounterLedger& ledger);
+    // All arguments must outlive the admission.
+    QuotaAdmission(const Settings& settings, const UsageEstimator& usage, QuotaWindow& window,
+                   CeilingBucket& ceiling, CounterSampler& sampler, TenantTable& tenants,
+                   CounterLedger& ledger)
+        : settings_(settings),
+          usage_(usage),
+          window_(window),
+          ceiling_(ceiling),
+          sampler_(sampler),
+          tenants_(tenants),
+          ledger_(ledger),
+          rejectedReplyShares_(settings.plans.size(), 0) {}
 
-    // Charges an arrived request whose class and plan are known.
-    Start start(EventContext& context, Request& request) const;
+    // Charges an arrived request. Precondition: its class and its plan are in the settings.
+    Start start(EventContext& context, Request& request);
 
-    // Until there is room for a request that start() rejected.
-    Duration retryAfter(EventContext& context, const Request& request) const;
+    // Time until the tenant has quota for a request that start() rejected.
+    Duration retryAfter(const Request& request, TimePoint now) const;
 
-    // Decides on a request, from the counter's reply where there is one, else from the last known sums and
-    // what this gateway's traffic share makes of its own traffic since. `startedAt`: of this gateway.
+    // Decides on a request by the counter's reply; without one, by the last known totals and an estimate of
+    // what was admitted since. Records the charge of an admitted request and refunds that of a rejected one.
+    // `startedAt` is when this gateway started.
     Decision decide(EventContext& context, Request& request, TimePoint startedAt);
 
 private:
+    bool isSampled(EventContext& context, Tenant& tenant, const WindowSlice& current, Request& request);
+    WindowSlice* chargedSlice(Tenant& tenant, const Request& request, TimePoint now);
+    bool isAdmitted(EventContext& context, Tenant& tenant, Request& request, WindowSlice* slice,
+                    TimePoint startedAt);
     bool fitsWindow(Tenant& tenant, const Request& request, WindowSlice& slice, TimePoint now);
+    void recordWindowDecision(Tenant& tenant, const QuotaCharge& charge, bool fits, TimePoint now);
     bool fitsConcurrency(const Tenant& tenant, const QuotaPlan& plan) const;
     double unconfirmedProbability(const Tenant& tenant, const QuotaPlan& plan) const;
     double replyValue(const Tenant& tenant, const WindowSlice& slice, TimePoint now) const;
     double maxSampleWeight(const Tenant& tenant) const;
 
-    CounterLedger::Parts parts_;
-    const CounterLedger& ledger_;
-    std::vector<double> rejectedShare_;  // by plan: moving share of the counter's replies that left no room
+    const Settings& settings_;
+    const UsageEstimator& usage_;
+    QuotaWindow& window_;
+    CeilingBucket& ceiling_;
+    CounterSampler& sampler_;
+    TenantTable& tenants_;
+    CounterLedger& ledger_;
+    std::vector<double>
+        rejectedReplyShares_;  // by plan: moving share of the counter's replies that left no quota
 };
 
 }  // namespace gateway
--- a/src/decision/quota/quota_charge.h
+++ b/src/decision/quota/quota_charge.h
@@ -1,19 +1,20 @@
-// What a request charged to its tenant's quota.
+// What one request has charged to its tenant's quota.
 #pragma once
 
 #include "decision/quota/slice_schedule.h"
 
 namespace gateway {
 
-// What a request charged to its tenant's quota.
+// Kept with the request while it is in flight. QuotaAdmission and CounterLedger change it; the engine counts
+// `pendingReplies` down.
 struct QuotaCharge {
-    SliceIndex sliceIndex{};
-    double amount = 0;       // what its add charges: its cost, or more where it stands for unsampled requests
-    bool posted = false;     // it is, or may be, on the counter
-    bool confirmed = false;  // the counter replied to it
-    bool coveredBySamples = false;  // unsampled: the adds of other requests stand for it
-    bool fromCeiling = false;       // its cost was drawn from the ceiling's bucket
-    int pendingReplies = 0;         // of the counter, that its decision waits for
+    SliceIndex sliceIndex{};        // the slice that is charged
+    double amount = 0;              // cost posted for it: its own cost times its sample weight
+    bool posted = false;            // the counter includes the charge, or may include it
+    bool confirmed = false;         // the counter replied with a total that includes the charge
+    bool coveredBySamples = false;  // not sampled: the sample weights of other requests cover its cost
+    bool drawnFromCeiling = false;  // its cost was drawn from the tenant's part of the ceiling
+    int pendingReplies = 0;         // replies of the counter that the decision waits for
 };
 
 }  // namespace gateway
--- a/src/decision/quota/quota_window.cpp
+++ b/src/decision/quota/quota_window.cpp
@@ -1,101 +1,112 @@
 #include "decision/quota/quota_window.h"
 
 #include <algorithm>
-#include <cmath>
-#include <utility>
 
 #include "decision/common/arithmetic.h"
 
 namespace gateway {
+namespace {
 
-WindowSlice* findSlice(Tenant& tenant, SliceIndex index) {
-    for (WindowSlice& slice : tenant.slices)
-        if (slice.index == index) return &slice;
-    return nullptr;
-}
+constexpr double kCostRoundingMargin = 1e-6;  // the counter sums costs as decimal numbers
+
+}  // namespace
 
-double debtOf(const QuotaPlan& plan, double sum) {
-    return std::max(0.0, sum - plan.rate * sliceSeconds(plan));
+bool RemainingQuota::covers(double requestCost) const {
+    return cost >= requestCost - kCostRoundingMargin;
 }
 
-WindowSlice& QuotaWindow::advance(Tenant& tenant, TimePoint now) const {
+WindowSlice& QuotaWindow::advance(Tenant& tenant, TimePoint now) {
     const SliceIndex current = sliceIndexAt(tenant.id, usage_.planOf(tenant), now);
-    auto& slices = tenant.slices;
-    while (!slices.empty() && slices.front().index < previousSlice(current)) {
-        usage_.noteClosedSlice(tenant, slices.front());
+    std::vector<WindowSlice>& slices = tenant.slices;
+    while (!slices.empty() && slices.front().index() < previousSlice(current)) {
+        tenant.usage.recordClosedSlice(slices.front());
         slices.erase(slices.begin());
     }
-    while (slices.empty() || slices.back().index < current) slices.push_back(openNext(tenant, current));
+    while (slices.empty() || slices.back().index() < current) slices.push_back(openNext(tenant, current));
     return slices.back();
 }
 
-// Until the counter replies for it, the new slice has the debt that is known of the one before.
-WindowSlice QuotaWindow::openNext(const Tenant& tenant, SliceIndex currentIndex) const {
-    WindowSlice next;
-    if (tenant.slices.empty()) {
-        next.index = previousSlice(currentIndex);
-        return next;
-    }
+// Until the counter replies for it, a new slice has the known debt of the slice before it.
+WindowSlice QuotaWindow::openNext(const Tenant& tenant, SliceIndex current) const {
+    if (tenant.slices.empty()) return WindowSlice(previousSlice(current));
     const QuotaPlan& plan = usage_.planOf(tenant);
     const WindowSlice& previous = tenant.slices.back();
-    const double known = previous.total + previous.forfeited;
-    next.index = nextSlice(previous.index);
-    next.total = debtOf(plan, known);
-    next.admittedSince = debtOf(plan, known + unsummedCost(tenant, previous)) - next.total;
-    return next;
+    const double known = previous.total() + previous.expiredBurst();
+    const double debt = debtOf(plan, known);
+    const double estimatedDebt = debtOf(plan, known + costSinceTotal(tenant, previous)) - debt;
+    return WindowSlice(nextSlice(previous.index()), debt, estimatedDebt);
 }
 
-// Many others are not taken to admit more than the plan's rate.
-double QuotaWindow::estimatedSum(const Tenant& tenant, const WindowSlice& slice, TimePoint now) const {
-    if (!usage_.reliesOnMeter(tenant)) return slice.total + slice.admittedSince + slice.othersSince;
+double QuotaWindow::estimatedTotal(const Tenant& tenant, const WindowSlice& slice, TimePoint now) const {
+    if (!usage_.reliesOnMeter(tenant))
+        return slice.total() + slice.admittedSinceTotal() + slice.remoteSinceTotal();
+    // The other gateways together are not estimated to admit more than the plan's rate.
     const QuotaPlan& plan = usage_.planOf(tenant);
-    const double from =
-        std::max(secondsSinceEpoch(slice.repliedAt), sliceStartSeconds(tenant.id, plan, slice.index));
-    const double most = plan.rate * std::max(0.0, secondsSinceEpoch(now) - from);
-    return slice.total + slice.admittedSince + std::min(slice.othersSince, most);
+    const double since = std::max(secondsSinceEpoch(slice.totalReportedAt()),
+                                  sliceStartSeconds(tenant.id, plan, slice.index()));
+    const double maxRemote = plan.rate * std::max(0.0, secondsSinceEpoch(now) - since);
+    return slice.total() + slice.admittedSinceTotal() + std::min(slice.remoteSinceTotal(), maxRemote);
 }
 
-// Room seen past the burst is taken as lost, so an idle slice saves up no more; where few sums are seen a
-// little more is admitted.
-double QuotaWindow::roomFor(const Tenant& tenant, WindowSlice& slice, double sum, TimePoint now) const {
-    const QuotaPlan& plan = usage_.planOf(tenant);
-    const double burst = std::max(plan.burst, settings_.maxRequestCost);
-    const double age = sliceAgeSeconds(tenant.id, plan, slice.index, now);
-    const double room = burst + plan.rate * age - sum;
-    if (slice.hasTotal) slice.forfeited = std::max(slice.forfeited, room - burst);
-    return room - slice.forfeited;
+RemainingQuota QuotaWindow::remainingQuota(const Tenant& tenant, const WindowSlice& slice, double total,
+                                           TimePoint now) const {
+    return {unexpiredQuota(tenant, slice, total, now) - slice.expiredBurst()};
 }
 
-// Keeps the charge, soon to be refunded, out of the sums that others see; room just refunded is seen late.
-bool QuotaWindow::isKnownFull(Tenant& tenant, double cost, TimePoint now) const {
+void QuotaWindow::expireUnusedBurst(const Tenant& tenant, WindowSlice& slice, double total, TimePoint now) {
+    const double unexpired = unexpiredQuota(tenant, slice, total, now);
+    slice.expireBurst(unexpired - maxBurst(usage_.planOf(tenant)));
+}
+
+void QuotaWindow::expireCurrentSliceBurst(Tenant& tenant, TimePoint now) {
+    if (usage_.planOf(tenant).rate <= 0 || tenant.slices.empty()) return;
     WindowSlice& current = tenant.slices.back();
-    return current.total > 0 && !hasRoomFor(tenant, current, current.total, cost, now);
+    expireUnusedBurst(tenant, current, current.total(), now);
 }
 
-Duration QuotaWindow::timeUntilRoom(Tenant& tenant, double cost, TimePoint now) const {
+Duration QuotaWindow::timeUntilQuota(const Tenant& tenant, double cost, TimePoint now) const {
     const QuotaPlan& plan = usage_.planOf(tenant);
     if (plan.rate <= 0 || tenant.slices.empty()) return Duration{};
-    WindowSlice& current = tenant.slices.back();
-    const double missing = cost - roomFor(tenant, current, current.total, now);
+    const WindowSlice& current = tenant.slices.back();
+    const double missing = cost - remainingQuota(tenant, current, current.total(), now).cost;
     return fromSeconds(std::max(0.0, missing) / plan.rate);
 }
 
-double QuotaWindow::quotaUse(const Tenant& tenant, const WindowSlice& slice, TimePoint now) const {
-    if (usage_.reliesOnMeter(tenant)) return tenant.usage.meteredUse;
+bool QuotaWindow::isWithinQuota(const Tenant& tenant, const WindowSlice& slice, TimePoint now) const {
     const QuotaPlan& plan = usage_.planOf(tenant);
-    const double byDemand = tenant.usage.demand / (usage_.trafficShare(tenant) * plan.rate);
-    const double bySum = estimatedSum(tenant, slice, now) / (plan.rate * sliceSeconds(plan));
-    return std::max(byDemand, bySum);
+    const double length = sliceSeconds(plan);
+    const double age = sliceAgeSeconds(tenant.id, plan, slice.index(), now);
+    const double quotaAtEnd = maxBurst(plan) + plan.rate * length;
+    const double quota = std::min(quotaAtEnd, quotaAtEnd + plan.rate * (age - length));
+    return slice.total() <= quota - slice.expiredBurst();
 }
 
-// Among many gateways only own cost counts: each would post its guess of the others.
-double QuotaWindow::unsummedCost(const Tenant& tenant, const WindowSlice& slice) const {
-    return slice.admittedSince + (usage_.reliesOnMeter(tenant) ? 0 : slice.othersSince);
+double QuotaWindow::quotaUtilization(const Tenant& tenant, const WindowSlice& slice, TimePoint now) const {
+    if (usage_.reliesOnMeter(tenant)) return tenant.usage.meteredUtilization();
+    const QuotaPlan& plan = usage_.planOf(tenant);
+    const double byDemand = tenant.usage.demand() / (usage_.trafficShare(tenant) * plan.rate);
+    const double byTotal = estimatedTotal(tenant, slice, now) / (plan.rate * sliceSeconds(plan));
+    return std::max(byDemand, byTotal);
 }
 
-void QuotaWindow::noteUnconfirmed(const Tenant& tenant, WindowSlice& slice, double cost) const {
-    slice.admittedSince += cost;
-    slice.othersSince += usage_.othersWhile(tenant, cost);
+double QuotaWindow::costSinceTotal(const Tenant& tenant, const WindowSlice& slice) const {
+    const double remote = usage_.reliesOnMeter(tenant) ? 0 : slice.remoteSinceTotal();
+    return slice.admittedSinceTotal() + remote;
+}
+
+double QuotaWindow::debtOf(const QuotaPlan& plan, double total) {
+    return std::max(0.0, total - plan.rate * sliceSeconds(plan));
+}
+
+// At least the cost of any one request, so that each can be admitted.
+double QuotaWindow::maxBurst(const QuotaPlan& plan) const {
+    return std::max(plan.burst, settings_.maxRequestCost);
+}
+
+double QuotaWindow::unexpiredQuota(const Tenant& tenant, const WindowSlice& slice, double total,
+                                   TimePoint now) const {
+    const QuotaPlan& plan = usage_.planOf(tenant);
+    return maxBurst(plan) + plan.rate * sliceAgeSeconds(tenant.id, plan, slice.index(), now) - total;
 }
 
 }  // namespace gateway
--- a/src/decision/quota/quota_window.h
+++ b/src/decision/quota/quota_window.h
@@ -1,59 +1,75 @@
-// The sliding window of slice counts that holds a tenant to its quota.
+// The sliding window of slices that holds a tenant to its quota.
 //
-// After the sliding window counters of Šnuderl's "Rate limiting in API management". A slice is burst / rate
-// long; a tenant has room for its burst plus what its rate has brought since the current slice began, less
-// that slice's sum. docs/design.md tells what was kept of the thesis and what was changed.
+// After the sliding window counters of Šnuderl's "Rate limiting in API management". The remaining quota of a
+// slice is the burst, plus what the rate has added since the slice began, less the slice's total.
+// docs/design.md lists what is kept of the thesis and what is changed.
 #pragma once
 
+#include "decision/quota/slice_schedule.h"
 #include "decision/quota/tenant.h"
 #include "decision/quota/usage_estimator.h"
 #include "gateway/settings.h"
 
 namespace gateway {
 
-// The slice with that index, or null.
-WindowSlice* findSlice(Tenant& tenant, SliceIndex index);
+// Cost that a slice can still admit, in the plan's cost unit; negative beyond the quota.
+struct RemainingQuota {
+    double cost = 0;
 
-// What a slice's sum exceeds its rate by; it is carried into the next slice.
-double debtOf(const QuotaPlan& plan, double sum);
+    // Whether a request of that cost can be admitted.
+    bool covers(double requestCost) const;
+};
 
+// Decides on the slices of the tenants that it is handed. Each function presumes that the tenant's plan has a
+// rate.
 class QuotaWindow {
 public:
     // Both arguments must outlive the window.
     QuotaWindow(const Settings& settings, const UsageEstimator& usage) : settings_(settings), usage_(usage) {}
 
-    // Opens the current slice, drops those that have left the window and returns the current one.
-    WindowSlice& advance(Tenant& tenant, TimePoint now) const;
+    // Opens the current slice, drops slices that have left the window and returns the current one.
+    // Invalidates pointers and references to the tenant's slices.
+    WindowSlice& advance(Tenant& tenant, TimePoint now);
+
+    // The slice's total over all gateways at `now`: the last reported one and what was admitted since, as far
+    // as it is known or estimated here.
+    double estimatedTotal(const Tenant& tenant, const WindowSlice& slice, TimePoint now) const;
 
-    // The slice's sum over all gateways by now, as far as is known or estimated here.
-    double estimatedSum(const Tenant& tenant, const WindowSlice& slice, TimePoint now) const;
+    // What remains of the quota if the slice's total is `total`. Capacity beyond the burst is not included:
+    // it expires.
+    RemainingQuota remainingQuota(const Tenant& tenant, const WindowSlice& slice, double total,
+                                  TimePoint now) const;
 
-    // The cost that still fits when the slice's sum is `sum`; negative beyond the quota.
-    double roomFor(const Tenant& tenant, WindowSlice& slice, double sum, TimePoint now) const;
+    // Expires the capacity beyond the burst that is unused at `now` if the slice's total is `total`, so that
+    // an idle slice does not accumulate more than its burst.
+    void expireUnusedBurst(const Tenant& tenant, WindowSlice& slice, double total, TimePoint now);
 
-    // `cost` fits when the slice's sum is `sum`.
-    bool hasRoomFor(const Tenant& tenant, WindowSlice& slice, double sum, double cost, TimePoint now) const {
-        constexpr double kRoundingMargin = 1e-6;  // of costs, which the counter sums as decimal numbers
-        return roomFor(tenant, slice, sum, now) >= cost - kRoundingMargin;
-    }
+    // The same for the current slice and its last known total. Does nothing for a tenant without slices.
+    void expireCurrentSliceBurst(Tenant& tenant, TimePoint now);
 
-    // The last known sums leave no room for `cost`, so that the counter need not be asked.
-    bool isKnownFull(Tenant& tenant, double cost, TimePoint now) const;
+    // Time until the last known total of the current slice leaves quota for `cost`; 0 if it does now, or if
+    // the tenant has no slices.
+    Duration timeUntilQuota(const Tenant& tenant, double cost, TimePoint now) const;
 
-    // Until the last known sum leaves room for `cost`; 0 where it does.
-    Duration timeUntilRoom(Tenant& tenant, double cost, TimePoint now) const;
+    // Whether the slice's last known total is within the quota of all gateways at `now`.
+    bool isWithinQuota(const Tenant& tenant, const WindowSlice& slice, TimePoint now) const;
 
-    // How much of its quota the tenant uses, about; 1 is all of it.
-    double quotaUse(const Tenant& tenant, const WindowSlice& slice, TimePoint now) const;
+    // Estimated share of its quota that the tenant uses over all gateways; 1 is all of it, and more is
+    // possible.
+    double quotaUtilization(const Tenant& tenant, const WindowSlice& slice, TimePoint now) const;
 
-    // Cost that was admitted and is in no sum yet.
-    double unsummedCost(const Tenant& tenant, const WindowSlice& slice) const;
+    // Admitted cost that is not yet included in the slice's total. A tenant that relies on the meter has only
+    // its local cost included: each gateway of a large fleet would otherwise post its own estimate of the
+    // others' usage.
+    double costSinceTotal(const Tenant& tenant, const WindowSlice& slice) const;
 
-    // `cost` was admitted without a reply of the counter; negative when that is taken back.
-    void noteUnconfirmed(const Tenant& tenant, WindowSlice& slice, double cost) const;
+    // The debt that a slice with that total carries forward: what exceeds the rate over its length.
+    static double debtOf(const QuotaPlan& plan, double total);
 
 private:
-    WindowSlice openNext(const Tenant& tenant, SliceIndex currentIndex) const;
+    WindowSlice openNext(const Tenant& tenant, SliceIndex current) const;
+    double maxBurst(const QuotaPlan& plan) const;
+    double unexpiredQuota(const Tenant& tenant, const WindowSlice& slice, double total, TimePoint now) const;
 
     const Settings& settings_;
     const UsageEstimator& usage_;
--- a/src/decision/quota/tenant.h
+++ b/src/decision/quota/tenant.h
@@ -1,40 +1,38 @@
-// What a gateway keeps of one tenant. State alone; nothing is decided here.
+// What one gateway keeps of one tenant.
 #pragma once
 
 #include <vector>
 
+#include "decision/quota/slice_schedule.h"
+#include "decision/quota/tenant_usage.h"
 #include "decision/quota/window_slice.h"
 #include "gateway/types.h"
 
 namespace gateway {
 
-// What is known of a tenant's use of its quota.
-struct TenantUsage {
-    double ownSeen = 0;     // cost admitted here in closed slices, fading
-    double totalSeen = 0;   // the same over all gateways
-    double demand = 0;      // cost a second that is asked for here
-    TimePoint demandAt{};   // when that was last updated
-    TimePoint totalAt{};    // when the counter last reported a sum
-    double meteredUse = 1;  // share of its quota in all, by the meter and the counter's rejections
-};
-
-// A gateway's part of what a plan's ceiling allows beyond the quota, as a token bucket.
+// A gateway's part of what a plan's ceiling allows beyond the quota, as a token bucket. CeilingBucket changes
+// it.
 struct CeilingTokens {
     double tokens = 0;
-    double share = 1;      // of the ceiling, as it was last filled
-    TimePoint filledAt{};  // 0: never
+    double share = 1;      // of the ceiling, as of the last fill
+    TimePoint filledAt{};  // the epoch if never
 };
 
+// State alone; the other parts of the quota module decide on it.
 struct Tenant {
     TenantId id{};
     QuotaPlanIndex plan{};
-    int entryPoints = 1;              // gateways through which its requests may come
-    int inFlight = 0;                 // own attempts
-    std::vector<WindowSlice> slices;  // the closed one and the current one
+    int entryPoints = 1;              // gateways through which its requests may arrive; at least 1
+    int inFlight = 0;                 // attempts of this gateway
+    std::vector<WindowSlice> slices;  // the previous one and the current one; empty before the first charge
     TenantUsage usage;
     CeilingTokens ceiling;
-    TimePoint rejectedAt{};  // when the counter's sum last left no room
-    TimePoint usedAt{};      // by its latest request
+    TimePoint rejectedAt{};  // when a total of the counter last left no quota; the epoch if none did
+    TimePoint usedAt{};      // when its latest request was handled
 };
 
+// The tenant's slice with that index; null if it is not in the window. The pointer is valid until the next
+// QuotaWindow::advance of the tenant.
+WindowSlice* findSlice(Tenant& tenant, SliceIndex index);
+
 }  // namespace gateway
--- a/src/decision/quota/tenant_table.cpp
+++ b/src/decision/quota/tenant_table.cpp
@@ -8,28 +8,34 @@
 namespace {
 
 constexpr int kTouchesPerSweep = 5000;
-constexpr Duration kForgetAfter = 2 * kMaxCounterNameLifetime;  // without a request
-constexpr double kInitialMeteredUse = 0.9;                      // before the meter reported
+constexpr Duration kForgetAfter =
+    2 * kMaxCounterNameLifetime;  // the counter has forgotten its slices by then
 
 }  // namespace
 
 Tenant& TenantTable::touch(const RequestArrived& arrival, TimePoint now) {
     const auto [found, added] = tenants_.try_emplace(arrival.tenant);
     Tenant& tenant = found->second;
-    if (!added && tenant.plan != arrival.plan) {  // another plan's slices have another length and numbers
+    if (!added && tenant.plan != arrival.plan) {
         const int inFlight = tenant.inFlight;
         tenant = Tenant{};
         tenant.inFlight = inFlight;
     }
-    if (tenant.usedAt == TimePoint{}) tenant.usage.meteredUse = kInitialMeteredUse;
+    if (tenant.usedAt == TimePoint{}) tenant.usage.assumeInitialUtilization();
     tenant.id = arrival.tenant;
     tenant.plan = arrival.plan;
     tenant.entryPoints = std::max(1, arrival.entryPoints);
     tenant.usedAt = now;
-    if (++touchesSinceSweep_ > kTouchesPerSweep) forgetIdle(now);
+    ++touchesSinceSweep_;
+    if (touchesSinceSweep_ > kTouchesPerSweep) forgetIdle(now);
     return tenant;
 }
 
+Tenant* TenantTable::find(TenantId id) {
+    const auto found = tenants_.find(id);
+    return found == tenants_.end() ? nullptr : &found->second;
+}
+
 void TenantTable::forgetIdle(TimePoint now) {
     touchesSinceSweep_ = 0;
     std::erase_if(tenants_, [&](const auto& entry) {
--- a/src/decision/quota/tenant_table.h
+++ b/src/decision/quota/tenant_table.h
@@ -1,4 +1,4 @@
-// The tenants whose requests came here lately.
+// The tenants whose requests arrived here recently.
 #pragma once
 
 #include <unordered_map>
@@ -8,16 +8,16 @@
 
 namespace gateway {
 
+// Owns the tenants. References stay valid until the tenant is forgotten, which happens only within touch().
 class TenantTable {
 public:
-    // The tenant of a request that is handled now.
+    // The tenant of a request that is handled at `now`, added if it is new. A tenant that arrives under
+    // another plan starts with new state, as the slices of plans differ in length. Forgets tenants that are
+    // idle for long.
     Tenant& touch(const RequestArrived& arrival, TimePoint now);
 
-    // Null where none of that tenant's requests came lately.
-    Tenant* find(TenantId id) {
-        const auto found = tenants_.find(id);
-        return found == tenants_.end() ? nullptr : &found->second;
-    }
+    // Null if no request of that tenant arrived recently.
+    Tenant* find(TenantId id);
 
 private:
     void forgetIdle(TimePoint now);
--- /dev/null
+++ b/src/decision/quota/tenant_usage.cpp
@@ -0,0 +1,46 @@
+#include "decision/quota/tenant_usage.h"
+
+#include <algorithm>
+#include <cmath>
+
+#include "decision/common/arithmetic.h"
+
+namespace gateway {
+namespace {
+
+constexpr double kInitialUtilization = 0.9;        // share of the quota
+constexpr double kClosedSliceRetainedShare = 0.5;  // of the earlier observations, at each closed slice
+constexpr double kMeterSmoothing = 0.15;
+constexpr double kDemandAveragingSlices = 2;
+constexpr double kPercentPerUnit = 100;
+
+}  // namespace
+
+void TenantUsage::assumeInitialUtilization() {
+    meteredUtilization_ = kInitialUtilization;
+}
+
+void TenantUsage::recordDemand(double cost, double sliceSeconds, TimePoint now) {
+    const double averagingSeconds = kDemandAveragingSlices * sliceSeconds;
+    const Duration sinceLast = now - demandRecordedAt_;
+    demandRecordedAt_ = now;
+    demand_ *= std::exp(-toSeconds(sinceLast) / averagingSeconds);
+    demand_ += cost / averagingSeconds;
+}
+
+void TenantUsage::recordClosedSlice(const WindowSlice& slice) {
+    if (!slice.hasTotal()) return;
+    const double own = slice.ownAdmitted();
+    closedLocalCost_ = closedLocalCost_ * kClosedSliceRetainedShare + own;
+    closedTotalCost_ = closedTotalCost_ * kClosedSliceRetainedShare + std::max(own, slice.total());
+}
+
+void TenantUsage::recordMeter(double percent) {
+    meteredUtilization_ = movingAverage(meteredUtilization_, percent / kPercentPerUnit, kMeterSmoothing);
+}
+
+void TenantUsage::recordExhausted() {
+    meteredUtilization_ = std::max(meteredUtilization_, 1.0);
+}
+
+}  // namespace gateway
--- a/src/decision/quota/usage_estimator.cpp
+++ b/src/decision/quota/usage_estimator.cpp
@@ -1,69 +1,48 @@
 #include "decision/quota/usage_estimator.h"
 
 #include <algorithm>
-#include <cmath>
-#include <utility>
 
-#include "decision/common/arithmetic.h"
 #include "decision/quota/slice_schedule.h"
 
 namespace gateway {
 namespace {
 
-constexpr double kSparseShare = 0.1;      // traffic share under which own requests tell nothing
-constexpr double kClosedSliceKept = 0.5;  // what is kept of the observed share at each closed slice
-constexpr double kMeterSmoothing = 0.15;  // weight of a new reading of the meter
-constexpr double kDemandSlices = 2;       // slices over which demand is averaged
-constexpr double kPenaltyTrust = 5;       // how fast trust in the estimate falls as a request too many earns
+constexpr double kLowLocalTrafficShare = 0.1;
+constexpr double kPenaltyTrustMultiplier = 5;  // how fast trust falls as an over-quota request earns more
+constexpr double kMinTrafficMultiplier = 0.5;  // of an even share over the tenant's entry points
 
 }  // namespace
 
 const QuotaPlan& UsageEstimator::planOf(const Tenant& tenant) const {
-    return settings_.plans[toPosition(tenant.plan)];
+    return settings_.plan(tenant.plan);
 }
 
 double UsageEstimator::trafficShare(const Tenant& tenant) const {
     const QuotaPlan& plan = planOf(tenant);
     const double window = plan.burst + plan.rate * sliceSeconds(plan);
+    // Until closed slices outweigh half a window, an even share over the entry points is assumed.
     const double prior = std::max({window, settings_.maxRequestCost, 1.0}) / 2;
     const TenantUsage& usage = tenant.usage;
-    const double share = (usage.ownSeen + prior / tenant.entryPoints) / (usage.totalSeen + prior);
-    return std::clamp(share, 0.5 / tenant.entryPoints, 1.0);
+    const double share =
+        (usage.closedLocalCost() + prior / tenant.entryPoints) / (usage.closedTotalCost() + prior);
+    return std::clamp(share, kMinTrafficMultiplier / tenant.entryPoints, 1.0);
 }
 
-bool UsageEstimator::isSparseHere(const Tenant& tenant) const {
-    return trafficShare(tenant) < kSparseShare;
+bool UsageEstimator::hasLowLocalTraffic(const Tenant& tenant) const {
+    return trafficShare(tenant) < kLowLocalTrafficShare;
 }
 
 bool UsageEstimator::reliesOnMeter(const Tenant& tenant) const {
-    return settings_.usageMeterPeriod > Duration{} && isSparseHere(tenant);
+    return settings_.usageMeterPeriod > Duration{} && hasLowLocalTraffic(tenant);
 }
 
-// Left out as far as a request too many earns more than it costs.
-double UsageEstimator::othersWhile(const Tenant& tenant, double cost) const {
+double UsageEstimator::estimatedRemoteUsage(const Tenant& tenant, double cost) const {
     const QuotaPlan& plan = planOf(tenant);
+    // The estimate counts less, the more an over-quota request earns beyond its penalty.
     const double loss = plan.overQuotaPenalty - plan.overQuotaWeight;
-    const double trust = settings_.counterEnabled ? std::clamp(1 + kPenaltyTrust * loss, 0.0, 1.0) : 1.0;
+    const double trust =
+        settings_.counterEnabled ? std::clamp(1 + kPenaltyTrustMultiplier * loss, 0.0, 1.0) : 1.0;
     return cost * (1 / trafficShare(tenant) - 1) * trust;
 }
 
-void UsageEstimator::noteDemand(Tenant& tenant, double cost, TimePoint now) const {
-    TenantUsage& usage = tenant.usage;
-    const double span = kDemandSlices * sliceSeconds(planOf(tenant));
-    const Duration sinceLast = now - std::exchange(usage.demandAt, now);
-    usage.demand *= std::exp(-toSeconds(sinceLast) / span);
-    usage.demand += cost / span;
-}
-
-void UsageEstimator::noteClosedSlice(Tenant& tenant, const WindowSlice& slice) const {
-    if (!slice.hasTotal) return;
-    TenantUsage& usage = tenant.usage;
-    usage.ownSeen = usage.ownSeen * kClosedSliceKept + slice.ownAdmitted;
-    usage.totalSeen = usage.totalSeen * kClosedSliceKept + std::max(slice.ownAdmitted, slice.total);
-}
-
-void UsageEstimator::noteMeter(Tenant& tenant, double percent) const {
-    tenant.usage.meteredUse = movingAverage(tenant.usage.meteredUse, percent / 100, kMeterSmoothing);
-}
-
 }  // namespace gateway
--- a/src/decision/quota/window_slice.cpp
+++ b/src/decision/quota/window_slice.cpp
@@ -1,69 +1,139 @@
 #include "decision/quota/window_slice.h"
 
+#include <algorithm>
 #include <utility>
 
 namespace gateway {
 
-CounterCall& WindowSlice::beginCall(CounterCall call) {
-    call.carriedCharge = std::exchange(pendingCharge, 0);
-    call.carriedRefund = std::exchange(pendingRefund, 0);
-    call.carriedUnverified = std::exchange(pendingUnverified, 0);
-    call.unverified = call.carriedUnverified;
-    call.amount = call.charge + call.carriedCharge - call.carriedRefund;
-    refunded += call.carriedRefund;
-    posted += call.amount;
-    call.refundedSoFar = refunded;
-    call.postedSoFar = posted;
-    return calls.emplace_back(std::move(call));
-}
-
-CounterCall* WindowSlice::resolveCall(RequestKey request, Admission admission) {
-    for (CounterCall& call : calls) {
-        if (call.request != request) continue;
-        call.admission = admission;
-        return &call;
-    }
+void WindowSlice::expireBurst(double cost) {
+    if (hasTotal_) expiredBurst_ = std::max(expiredBurst_, cost);
+}
+
+const CounterCall& WindowSlice::beginChargeCall(RequestKey request, double charge) {
+    hasChargeCalls_ = true;
+    CounterCall call;
+    call.request_ = request;
+    call.charge_ = charge;
+    return beginCall(call);
+}
+
+const CounterCall& WindowSlice::beginReadCall(RequestKey reader) {
+    CounterCall call;
+    call.reader_ = reader;
+    return beginCall(call);
+}
+
+const CounterCall& WindowSlice::beginFlushCall() {
+    return beginCall(CounterCall{});
+}
+
+const CounterCall& WindowSlice::beginCall(CounterCall call) {
+    call.carriedCharge_ = std::exchange(pendingCharge_, 0);
+    call.carriedRefund_ = std::exchange(pendingRefund_, 0);
+    call.carriedUnconfirmed_ = std::exchange(pendingUnconfirmed_, 0);
+    call.unconfirmed_ = call.carriedUnconfirmed_;
+    call.amount_ = call.charge_ + call.carriedCharge_ - call.carriedRefund_;
+    postedRefund_ += call.carriedRefund_;
+    posted_ += call.amount_;
+    call.refundedUpToHere_ = postedRefund_;
+    call.postedUpToHere_ = posted_;
+    return calls_.emplace_back(call);
+}
+
+CounterCall WindowSlice::endOldestCall() {
+    const CounterCall call = calls_.front();
+    calls_.pop_front();
+    return call;
+}
+
+CounterCall* WindowSlice::findCall(RequestKey request) {
+    for (CounterCall& call : calls_)
+        if (call.request_ == request) return &call;
     return nullptr;
 }
 
 void WindowSlice::withdraw(const CounterCall& call) {
-    posted -= call.amount;
-    pendingCharge += call.carriedCharge;
-    pendingRefund += call.carriedRefund;
-    refunded -= call.carriedRefund;
-    for (CounterCall& later : calls) {
-        later.postedSoFar -= call.amount;
-        later.refundedSoFar -= call.carriedRefund;
+    posted_ -= call.amount_;
+    pendingCharge_ += call.carriedCharge_;
+    pendingRefund_ += call.carriedRefund_;
+    postedRefund_ -= call.carriedRefund_;
+    for (CounterCall& later : calls_) {
+        later.postedUpToHere_ -= call.amount_;
+        later.refundedUpToHere_ -= call.carriedRefund_;
     }
-    // Decided before the reply, the charge was booked as counted.
-    if (call.admission == Admission::admitted) pendingCharge += call.charge;
-    if (call.admission == Admission::rejected) {
-        pendingRefund -= call.charge;
-        rejected -= call.charge;
+    // A decision before the reply assumed that the counter includes the charge.
+    if (call.admission_ == Admission::admitted) pendingCharge_ += call.charge_;
+    if (call.admission_ == Admission::rejected) {
+        pendingRefund_ -= call.charge_;
+        refunds_ -= call.charge_;
     }
 }
 
-void WindowSlice::repost(double lost) {
-    pendingCharge += lost;
-    posted -= lost;
-    for (CounterCall& later : calls) later.postedSoFar -= lost;
+void WindowSlice::applyTotal(const CounterCall& call, const CounterTotal& reported) {
+    admittedSinceTotal_ = pendingCharge_;
+    for (const CounterCall& later : calls_) {
+        admittedSinceTotal_ += later.carriedCharge_;
+        if (later.admission_ == Admission::admitted) admittedSinceTotal_ += later.charge_;
+    }
+    total_ = reported.sum + reported.lost - (refunds_ - call.refundedUpToHere_);
+    hasTotal_ = true;
+    totalReportedAt_ = reported.reportedAt;
+    remoteSinceTotal_ = reported.estimatedRemote;
+    // total_ includes the lost cost already, so it is pending without being admitted since the total.
+    pendingCharge_ += reported.lost;
+    posted_ -= reported.lost;
+    for (CounterCall& later : calls_) later.postedUpToHere_ -= reported.lost;
 }
 
-void WindowSlice::applyTotal(const CounterCall& call, double sum, TimePoint now) {
-    admittedSince = pendingCharge;
-    for (const CounterCall& later : calls) {
-        admittedSince += later.carriedCharge;
-        if (later.admission == Admission::admitted) admittedSince += later.charge;
+void WindowSlice::recordAdmitted(RequestKey request, const QuotaCharge& charge, double cost) {
+    ownAdmitted_ += cost;
+    CounterCall* call = findCall(request);
+    if (call != nullptr) {
+        call->admission_ = Admission::admitted;
+        if (!charge.confirmed) call->unconfirmed_ += cost;
+        return;
     }
-    total = sum - (rejected - call.refundedSoFar);
-    hasTotal = true;
-    repliedAt = now;
+    if (charge.posted || charge.coveredBySamples) return;
+    pendingCharge_ += cost;
+    if (!charge.confirmed) pendingUnconfirmed_ += cost;
+}
+
+void WindowSlice::addUnconfirmed(const UnconfirmedCost& cost) {
+    admittedSinceTotal_ += cost.local;
+    remoteSinceTotal_ += cost.estimatedRemote;
+}
+
+bool WindowSlice::refundRejected(RequestKey request, const QuotaCharge& charge) {
+    CounterCall* call = findCall(request);
+    if (call != nullptr) call->admission_ = Admission::rejected;
+    if (call == nullptr && !charge.posted) return false;
+    addRefund(charge);
+    return true;
+}
+
+void WindowSlice::refundAdmitted(const QuotaCharge& charge, double cost) {
+    ownAdmitted_ -= cost;
+    addRefund(charge);
+    if (!charge.confirmed && !charge.posted) pendingUnconfirmed_ = std::max(0.0, pendingUnconfirmed_ - cost);
+}
+
+void WindowSlice::addRefund(const QuotaCharge& charge) {
+    pendingRefund_ += charge.amount;
+    refunds_ += charge.amount;
+    if (charge.confirmed) total_ -= charge.amount;
+}
+
+void WindowSlice::reconcile(double difference) {
+    ownAdmitted_ += difference;
+    pendingCharge_ += difference;
+    admittedSinceTotal_ += difference;
 }
 
-void WindowSlice::addRefund(double charge, bool inTotal) {
-    pendingRefund += charge;
-    rejected += charge;
-    if (inTotal) total -= charge;
+void WindowSlice::carryDebt(double debt) {
+    hasCarriedDebt_ = true;
+    if (debt <= 0) return;
+    total_ += debt;
+    pendingCharge_ += debt;
 }
 
 }  // namespace gateway
--- a/src/decision/quota/window_slice.h
+++ b/src/decision/quota/window_slice.h
@@ -1,78 +1,197 @@
-// One slice of a tenant's sliding window, and its adds to the counter in flight.
+// One slice of a tenant's sliding window as one gateway sees it, with its calls to the counter service in
+// flight.
 //
-// Bookkeeping alone; nothing is decided here. All amounts are costs in the plan's unit.
+// The counter service keeps the slice's total over all gateways. A WindowSlice keeps the last reported total,
+// an estimate of what was admitted since that report, and what this gateway has posted or has yet to post. It
+// decides nothing and does no I/O. All amounts are costs in the plan's cost unit.
 #pragma once
 
 #include <deque>
-#include <vector>
 
 #include "decision/engine/request_key.h"
+#include "decision/quota/quota_charge.h"
 #include "decision/quota/slice_schedule.h"
 #include "gateway/types.h"
 
 namespace gateway {
 
-// What was decided on a request's charge before the counter replied to it.
+// The decision on a request whose charge the counter has not yet replied to.
 enum class Admission { pending, admitted, rejected };
 
-// One add to a slice's name on the counter, in flight.
-struct CounterCall {
-    RequestKey request = RequestKey::none;  // whose charge it carries; or none's
-    double charge = 0;                      // for that request
-    double amount = 0;                      // added in all
-    Admission admission = Admission::pending;
-    double carriedCharge = 0;         // admitted earlier and not posted then
-    double carriedRefund = 0;         // of rejected requests
-    double refundedSoFar = 0;         // on this name, up to and with this call
-    double postedSoFar = 0;           // on this name, up to and with this call
-    double carriedUnverified = 0;     // of `carriedCharge`, what was admitted without a reply
-    double unverified = 0;            // the same, and what was admitted before this call's reply
-    std::vector<RequestKey> readers;  // requests that wait for the slice's sum only
+// One add to a slice's name on the counter, in flight. Only its WindowSlice changes it.
+class CounterCall {
+public:
+    // The request whose charge the call posts; none for a call that flushes or reads.
+    RequestKey request() const { return request_; }
+    // The request that waits for the slice's total without charging the slice; none for other calls.
+    RequestKey reader() const { return reader_; }
+    // The charge of request().
+    double charge() const { return charge_; }
+    // The cost that the call adds on the counter: charge(), plus the carried charge, less the carried refund.
+    double amount() const { return amount_; }
+    // The decision on request(), as far as it came before the reply.
+    Admission admission() const { return admission_; }
+    // Of the carried charge, the cost that was admitted without a reply.
+    double carriedUnconfirmed() const { return carriedUnconfirmed_; }
+    // carriedUnconfirmed() and, if request() was admitted before the reply, its cost.
+    double unconfirmed() const { return unconfirmed_; }
+    // All cost posted under the slice's name by this gateway, up to and including this call.
+    double postedUpToHere() const { return postedUpToHere_; }
+
+private:
+    friend class WindowSlice;
+
+    RequestKey request_ = RequestKey::none;
+    RequestKey reader_ = RequestKey::none;
+    double charge_ = 0;
+    double amount_ = 0;
+    Admission admission_ = Admission::pending;
+    double carriedCharge_ = 0;     // admitted earlier and posted by this call
+    double carriedRefund_ = 0;     // of requests rejected or not sent earlier
+    double refundedUpToHere_ = 0;  // all refunds posted under the slice's name, up to and including this call
+    double carriedUnconfirmed_ = 0;  // see carriedUnconfirmed()
+    double unconfirmed_ = 0;         // see unconfirmed()
+    double postedUpToHere_ = 0;      // see postedUpToHere()
 };
 
-// The counter holds a slice's sum over all gateways; this is what one gateway knows and owes of it.
-struct WindowSlice {
-    SliceIndex index{};
-    double total = 0;              // last known sum over all gateways, less own rejected cost
-    double admittedSince = 0;      // admitted here since then
-    double othersSince = 0;        // what the others admitted since then, by the observed share
-    TimePoint repliedAt{};         // when the counter last reported its sum
-    double ownAdmitted = 0;        // admitted here in all
-    double forfeited = 0;          // room past the burst that was seen: it is lost
-    bool hasTotal = false;         // the counter replied for it
-    bool debtCarried = false;      // the closed slice's debt was added to it
-    bool hasOwnCalls = false;      // this gateway charged a request to it by a call
-    double pendingCharge = 0;      // to be carried by the next add
-    double pendingRefund = 0;      // the same
-    double pendingUnverified = 0;  // of `pendingCharge`, what was admitted without a reply
-    double rejected = 0;           // own rejected cost, in all
-    double refunded = 0;           // of that, what was posted as refund
-    double posted = 0;             // on this name, in all
-    bool flushScheduled = false;
-    std::deque<CounterCall> calls;  // in flight, in the order of their replies
-
-    bool hasPending() const { return pendingCharge != 0 || pendingRefund != 0; }
-
-    // Puts a call in flight that carries its own charge and all that is pending. The reference holds until
-    // the next call.
-    CounterCall& beginCall(CounterCall call);
-
-    // Notes what was decided on a request whose call is in flight; null if it is not.
-    CounterCall* resolveCall(RequestKey request, Admission admission);
-
-    // A call that is no longer in flight was not counted: all that it carried is pending again, and what was
-    // decided on its request before is put right.
-    void withdraw(const CounterCall& call);
+// A slice's total as a reply of the counter reports it.
+struct CounterTotal {
+    double sum = 0;   // over all gateways
+    double lost = 0;  // posted by this gateway and missing in `sum`; 0 unless the counter lost counts
+    double estimatedRemote = 0;  // admitted by other gateways and not yet included in `sum`
+    TimePoint reportedAt{};
+};
+
+// Cost admitted without a reply of the counter, here and, as estimated, at the other gateways meanwhile.
+struct UnconfirmedCost {
+    double local = 0;
+    double estimatedRemote = 0;
+};
+
+// Invariants, between any two calls of its functions:
+// - Nothing is lost between pending and posted: posted() + pendingCharge() - pendingRefund() changes only by
+// a charge,
+//   a refund, carried debt or a reconciliation. Beginning a call, withdrawing a carried cost and posting lost
+//   cost again only move cost between the terms.
+// - refunds() == pendingRefund() + postedRefund().
+// - Calls end in the order in which they began. The newest call in flight has postedUpToHere() == posted().
+class WindowSlice {
+public:
+    // The slice opens with the debt of the slice before it: `debt` of its known total, and `estimatedDebt` of
+    // the cost not yet included in that total.
+    explicit WindowSlice(SliceIndex index, double debt = 0, double estimatedDebt = 0)
+        : index_(index), total_(debt), admittedSinceTotal_(estimatedDebt) {}
 
-    // Counts were lost on the counter: that much of what was posted is pending again.
-    void repost(double lost);
+    SliceIndex index() const { return index_; }
 
-    // The counter reported its sum in reply to `call`. Also sums up anew what was admitted and is in no sum
+    // ---- The slice's use over all gateways ----
+
+    // The last reported total plus carried debt, less refunds of this gateway that the total does not include
     // yet.
-    void applyTotal(const CounterCall& call, double sum, TimePoint now);
+    double total() const { return total_; }
+    // Whether the counter has reported a total.
+    bool hasTotal() const { return hasTotal_; }
+    // When the counter last reported a total.
+    TimePoint totalReportedAt() const { return totalReportedAt_; }
+    // Admitted here and not yet included in total().
+    double admittedSinceTotal() const { return admittedSinceTotal_; }
+    // Estimated remote usage that is not yet included in total().
+    double remoteSinceTotal() const { return remoteSinceTotal_; }
+    // Admitted here in all.
+    double ownAdmitted() const { return ownAdmitted_; }
+    // Capacity beyond the burst that was seen unused: it has expired.
+    double expiredBurst() const { return expiredBurst_; }
+
+    // Expires unused capacity up to `cost` in all. Has no effect before the first reported total.
+    void expireBurst(double cost);
+
+    // ---- What this gateway has posted and has yet to post ----
+
+    double pendingCharge() const { return pendingCharge_; }  // the next call carries it
+    double pendingRefund() const { return pendingRefund_; }  // the next call carries it
+    double pendingUnconfirmed() const {
+        return pendingUnconfirmed_;
+    }                                                      // of that charge, admitted without a reply
+    double posted() const { return posted_; }              // in flight or on the counter, in all
+    double refunds() const { return refunds_; }            // pending, in flight or on the counter, in all
+    double postedRefund() const { return postedRefund_; }  // of refunds(), in flight or on the counter
+    bool hasPending() const { return pendingCharge_ != 0 || pendingRefund_ != 0; }
+    // Whether a call has posted the charge of a request to this slice.
+    bool hasChargeCalls() const { return hasChargeCalls_; }
+    bool hasCallInFlight() const { return !calls_.empty(); }
+
+    // Each puts a call in flight that carries all that is pending. The reference is valid until the next
+    // change of the slice.
+    const CounterCall& beginChargeCall(RequestKey request, double charge);
+    const CounterCall& beginReadCall(RequestKey reader);
+    const CounterCall& beginFlushCall();
+
+    // Takes the oldest call out of flight. Precondition: hasCallInFlight().
+    CounterCall endOldestCall();
+
+    // Reverses an ended call that the counter did not count: what it carried is pending again. The charge of
+    // an admitted request becomes pending; that of a rejected one needs no refund any more.
+    void withdraw(const CounterCall& call);
+
+    // Takes in the total that the counter reported in reply to the ended `call`. Lost cost is pending again.
+    void applyTotal(const CounterCall& call, const CounterTotal& reported);
+
+    // ---- Requests ----
+
+    // A request with that charge was admitted at `cost`. The cost becomes pending unless a call of the
+    // request or the calls of sampled requests post it.
+    void recordAdmitted(RequestKey request, const QuotaCharge& charge, double cost);
+
+    // Adds cost that was admitted without a reply; negative amounts take it back.
+    void addUnconfirmed(const UnconfirmedCost& cost);
+
+    // Refunds the charge of a rejected request. Returns false, and changes nothing, if no call has posted it.
+    bool refundRejected(RequestKey request, const QuotaCharge& charge);
+
+    // Refunds the charge of a request that was admitted at `cost` and reached no endpoint.
+    void refundAdmitted(const QuotaCharge& charge, double cost);
+
+    // Adds an admitted request's actual cost less its charge; negative for a refund.
+    void reconcile(double difference);
+
+    // ---- Debt and flushes ----
+
+    bool hasCarriedDebt() const { return hasCarriedDebt_; }
+
+    // Carries the debt of the preceding slice forward into this one, once. Precondition: !hasCarriedDebt().
+    void carryDebt(double debt);
+
+    // Replaces the pending charge by a sample of it: dropped, or weighted by 1 / `probability`.
+    void dropPendingCharge() { pendingCharge_ = 0; }
+    void weightPendingCharge(double probability) { pendingCharge_ /= probability; }
+
+    // Whether a timer is set that flushes what is pending.
+    bool isFlushScheduled() const { return isFlushScheduled_; }
+    void setFlushScheduled(bool scheduled) { isFlushScheduled_ = scheduled; }
+
+private:
+    const CounterCall& beginCall(CounterCall call);
+    CounterCall* findCall(RequestKey request);
+    void addRefund(const QuotaCharge& charge);
 
-    // A charge goes back with the next add; `inTotal` says that it is in `total`.
-    void addRefund(double charge, bool inTotal);
+    SliceIndex index_;
+    double total_ = 0;
+    double admittedSinceTotal_ = 0;
+    double remoteSinceTotal_ = 0;
+    TimePoint totalReportedAt_{};
+    double ownAdmitted_ = 0;
+    double expiredBurst_ = 0;
+    bool hasTotal_ = false;
+    bool hasCarriedDebt_ = false;
+    bool hasChargeCalls_ = false;
+    bool isFlushScheduled_ = false;
+    double pendingCharge_ = 0;
+    double pendingRefund_ = 0;
+    double pendingUnconfirmed_ = 0;
+    double refunds_ = 0;
+    double postedRefund_ = 0;
+    double posted_ = 0;
+    std::deque<CounterCall> calls_;  // in flight, oldest first
 };
 
 }  // namespace gateway
