--- a/src/decision/engine/decision_engine.cpp
+++ b/src/decision/engine/decision_engine.cpp
@@ -86,8 +86,8 @@
       window_(settings_, usage_),
       ceiling_(settings_),
       sampler_(settings_.counterTimeout),
-      ledger_({settings_, usage_, window_, ceiling_, sampler_, tenants_, requests_}),
-      admission_({settings_, usage_, window_, ceiling_, sampler_, tenants_, requests_}, ledger_),
+      ledger_(settings_, usage_, window_, ceiling_, sampler_, tenants_, requests_),
+      admission_(settings_, usage_, window_, ceiling_, sampler_, tenants_, ledger_),
       latency_(settings_),
       slowStart_(settings_, endpointStats_),
       limiter_(settings_),
@@ -96,7 +96,7 @@
       retries_(settings_, latency_),
       attempts_(latency_, endpointStats_, slowStart_, limiter_, endpoints_, picker_, retries_),
       endpointWatch_(settings_, endpoints_, limiter_),
-      lifecycle_(settings_, requests_, {tenants_, usage_, ledger_, admission_},
+      lifecycle_(settings_, requests_, {tenants_, ledger_, admission_},
                  {latency_, retries_, attempts_}) {}
 
 void DecisionEngine::Impl::handle(TimePoint now, const Event& event, Actions& actions) {
@@ -126,7 +126,7 @@
     if (!timer) return;
     const Overloaded handler{
         [&](const CounterWaitOver& due) { lifecycle_.onCounterWaitOver(context, due); },
-        [&](const FlushDue& due) { ledger_.flush(context, due.tenant, due.sliceIndex); },
+        [&](const FlushDue& due) { ledger_.flush(context, due.slice); },
         [&](const DiscoveryRetryDue&) { EndpointWatch::onRetryDue(context); },
     };
     std::visit(handler, *timer);
--- a/src/decision/engine/request_lifecycle.cpp
+++ b/src/decision/engine/request_lifecycle.cpp
@@ -21,7 +21,6 @@
     : settings_(settings),
       requests_(requests),
       tenants_(quota.tenants),
-      usage_(quota.usage),
       ledger_(quota.ledger),
       admission_(quota.admission),
       latency_(upstream.latency),
@@ -45,7 +44,7 @@
 void RequestLifecycle::startAdmission(EventContext& context, Request& request) {
     switch (admission_.start(context, request)) {
         case QuotaAdmission::Start::rejected:
-            answerUnserved(context, request, admission_.retryAfter(context, request));
+            answerUnserved(context, request, admission_.retryAfter(request, context.now));
             break;
         case QuotaAdmission::Start::decideNow:
             decide(context, request);
@@ -67,7 +66,7 @@
 void RequestLifecycle::onCounterReplied(EventContext& context, const CounterReplied& reply) {
     const CounterLedger::ReplyResult result = ledger_.onReply(context, reply);
     recordAwaitedReply(context, result.charged, result.ok);
-    for (const RequestKey reader : result.readers) recordAwaitedReply(context, reader, result.ok);
+    recordAwaitedReply(context, result.reader, result.ok);
     ledger_.afterReply(context, result);
 }
 
@@ -146,7 +145,7 @@
 void RequestLifecycle::settleCost(EventContext& context, Request& request, const AttemptEnded& ended,
                                   Tenant* tenant) {
     if (tenant == nullptr) return;
-    if (ended.meteredPercent) usage_.noteMeter(*tenant, *ended.meteredPercent);
+    if (ended.meteredPercent) tenant->usage.recordMeter(*ended.meteredPercent);
     if (ended.trueCost) ledger_.reconcile(context, *tenant, request, *ended.trueCost - request.arrival.cost);
 }
 
--- a/src/decision/engine/request_lifecycle.h
+++ b/src/decision/engine/request_lifecycle.h
@@ -11,7 +11,6 @@
 #include "decision/quota/counter_ledger.h"
 #include "decision/quota/quota_admission.h"
 #include "decision/quota/tenant_table.h"
-#include "decision/quota/usage_estimator.h"
 #include "decision/upstream/latency_stats.h"
 #include "decision/upstream/retry_policy.h"
 #include "gateway/settings.h"
@@ -23,7 +22,6 @@
     // What a request needs of the quota: the tenants, and the modules that charge them.
     struct Quota {
         TenantTable& tenants;
-        UsageEstimator& usage;
         CounterLedger& ledger;
         QuotaAdmission& admission;
     };
@@ -77,7 +75,6 @@
     const Settings& settings_;
     RequestTable& requests_;
     TenantTable& tenants_;
-    UsageEstimator& usage_;
     CounterLedger& ledger_;
     QuotaAdmission& admission_;
     const LatencyStats& latency_;
--- a/src/decision/engine/timer_table.h
+++ b/src/decision/engine/timer_table.h
@@ -7,6 +7,7 @@
 #include <variant>
 
 #include "decision/engine/request_key.h"
+#include "decision/quota/slice_key.h"
 #include "gateway/actions.h"
 
 namespace gateway {
@@ -18,8 +19,7 @@
 
 // The amounts that are pending for a window slice are to be posted to the counter.
 struct FlushDue {
-    TenantId tenant{};
-    std::int64_t sliceIndex = 0;
+    SliceKey slice;
 };
 
 // Discovery could not be reached; the endpoint watch is to be opened again.
--- a/tests/decision/engine/timer_table_test.cpp
+++ b/tests/decision/engine/timer_table_test.cpp
@@ -21,11 +21,11 @@
 
 TEST(TimerTableTest, DistinguishesTimers) {
     TimerTable timers;
-    const SetTimer flush = timers.start(FlushDue{TenantId{5}, 3}, std::chrono::seconds(1));
+    const SetTimer flush = timers.start(FlushDue{{TenantId{5}, SliceIndex{3}}}, std::chrono::seconds(1));
     const SetTimer retry = timers.start(DiscoveryRetryDue{}, std::chrono::seconds(1));
     EXPECT_NE(flush.timer, retry.timer);
     EXPECT_TRUE(std::holds_alternative<DiscoveryRetryDue>(timers.take(retry.timer).value()));
-    EXPECT_EQ(std::get<FlushDue>(timers.take(flush.timer).value()).sliceIndex, 3);
+    EXPECT_EQ(std::get<FlushDue>(timers.take(flush.timer).value()).slice.index, SliceIndex{3});
 }
 
 TEST(TimerTableTest, ReplacesDelayThatIsNotPositive) {
