--- a/src/decision/engine/decision_engine_impl.cpp
+++ b/src/decision/engine/decision_engine_impl.cpp
@@ -6,7 +6,6 @@
 #include <variant>
 
 #include "decision/common/arithmetic.h"
-#include "decision/upstream/outlier_detector.h"
 
 namespace gateway {
 namespace {
@@ -58,7 +57,7 @@
     if (settings_.discovery == DiscoveryMode::poll && !std::exchange(watchesEndpoints_, true))
         context.act(WatchEndpoints{});
     endpoints_.apply(update, context.now);
-    limiter_.onEndpointSet(endpoints_.listed());
+    limiter_.initializeLimit(endpoints_.listedCount());
 }
 
 // ---- The way of a request -------------------------------------------------------------------------
@@ -120,13 +119,13 @@
         return answerUnserved(context, request, expectedTime(request));
     }
     Endpoint& endpoint = endpoints_.at(*slot);
-    if (request.attempts.empty()) retries_.onFirstAttempt();
+    if (request.attempts.empty()) retries_.recordFirstAttempt();
     request.attempts.push_back({*slot, context.now, false});
-    limiter_.begin(endpoint);
+    limiter_.beginAttempt();
+    endpoint.beginAttempt(work);
     if (Tenant* tenant = tenants_.find(request.arrival.tenant)) ++tenant->inFlight;
-    SlowStart::spend(endpoint, work);
     const Duration beginWithin = retries_.beginWithin(request, context.now);
-    context.act(SendAttempt{request.arrival.request, endpoint.entry.endpoint, left, beginWithin});
+    context.act(SendAttempt{request.arrival.request, endpoint.entry().endpoint, left, beginWithin});
 }
 
 void DecisionEngine::Impl::on(EventContext&, const StreamStarted& started) {
@@ -140,14 +139,16 @@
     Attempt& attempt = request->attempts[index];
     if (std::exchange(attempt.ended, true)) return;
     Endpoint& endpoint = endpoints_.at(attempt.endpointSlot);
-    limiter_.end(endpoint);
+    limiter_.endAttempt();
+    endpoint.endAttempt();
     Tenant* tenant = tenants_.find(request->arrival.tenant);
     if (tenant != nullptr) --tenant->inFlight;
     observeAttempt(*request, ended, endpoint, context.now);
     noteRun(*request, ended, attempt, endpoint);
     settleCost(context, *request, ended, tenant);
     if (ended.closed) request->closed = true;
-    if (!request->closed && retries_.takeRetry(*request, context.now)) return sendAttempt(context, *request);
+    if (!request->closed && retries_.tryAcquireRetry(*request, context.now))
+        return sendAttempt(context, *request);
     if (!request->reachedEndpoint && !request->hasAttemptInFlight()) ledger_.refundUnsent(context, *request);
     if (request->closed) return requests_.eraseIfDone(*request);
     answerUnserved(context, *request, expectedTime(*request));
@@ -155,22 +156,19 @@
 
 void DecisionEngine::Impl::observeAttempt(const Request& request, const AttemptEnded& ended,
                                           Endpoint& endpoint, TimePoint now) {
-    endpointStats_.observe(endpoint, ended, endpoints_.listed(), now);
     const AttemptSample sample = latency_.observe(request, ended);
-    EndpointStats::observeLatency(endpoint, sample);
+    endpoint.observeAttempt(ended, sample, now);
+    endpointStats_.observe(endpoint.load(), endpoints_.listedCount(), now);
     limiter_.observe(sample, ended.outcome);
     slowStart_.observe(endpoint, sample, now);
-    ConcurrencyLimiter::observe(endpoint, sample, now);
-    endpoint.load.observedAt = now;
     if (ended.outcome == Outcome::ok)
-        slowStart_.noteServed(endpoint, latency_.relativeWork(request.arrival.requestClass), now);
-    OutlierDetector::observe(endpoint.health, ended.outcome, now);
+        slowStart_.recordServed(endpoint, latency_.relativeWork(request.arrival.requestClass), now);
 }
 
 void DecisionEngine::Impl::noteRun(Request& request, const AttemptEnded& ended, const Attempt& attempt,
                                    const Endpoint& endpoint) {
     if (!provesNeverRan(ended.outcome) && !request.possibleRun)
-        request.possibleRun = PossibleRun{endpoint.entry.zone, endpoint.entry.cell, attempt.sentAt};
+        request.possibleRun = PossibleRun{endpoint.entry().zone, endpoint.entry().cell, attempt.sentAt};
     // A ceiling takes cost at the first attempt, a quota where it reaches an endpoint.
     const QuotaPlan* plan = planOf(request);
     const bool hasCeiling = plan != nullptr && plan->ceilingRate > 0;
@@ -188,7 +186,7 @@
 // ---- Final answers --------------------------------------------------------------------------------
 
 void DecisionEngine::Impl::answerUnserved(EventContext& context, Request& request, Duration retryAfter) {
-    if (retries_.isRepeatHarmless(request, context.now)) {
+    if (retries_.isClientRetrySafe(request, context.now)) {
         const Duration advice =
             settings_.retryAfterAllowed ? std::min(retryAfter, settings_.maxRetryAfter) : Duration{};
         context.act(RejectRequest{request.arrival.request, advice});
--- /dev/null
+++ b/src/decision/upstream/attempt_sample.h
@@ -0,0 +1,26 @@
+// What one finished attempt shows about its endpoint and about the load.
+#pragma once
+
+namespace gateway {
+
+// Share of slow responses at which the concurrency limit settles.
+constexpr double kTargetSlowShare = 0.1;
+
+// Share of its latency objective above which a response counts as slow.
+constexpr double kSlowObjectiveShare = 0.6;
+
+// A finished attempt, measured against its request class.
+struct AttemptSample {
+    double seconds = 0;           // elapsed time of the attempt
+    double objectiveShare = 0;    // elapsed time divided by the class's latency objective
+    double classMeanSeconds = 0;  // mean of the class, including this sample; 0: no sample yet
+    bool served = false;          // a complete response that was not streamed
+    bool timedOut = false;
+    bool slow = false;        // a slow response, or a timeout
+    bool overloaded = false;  // slow, or rejected by the endpoint
+
+    // Whether the elapsed time is a measure of the endpoint's speed.
+    bool hasLatency() const { return served || timedOut; }
+};
+
+}  // namespace gateway
--- a/src/decision/upstream/endpoint.h
+++ b/src/decision/upstream/endpoint.h
@@ -1,48 +1,73 @@
-// What a gateway keeps of one endpoint. State alone; nothing is decided here.
+// One endpoint as this gateway knows it: its entry in the endpoint list and what its attempts have shown.
 #pragma once
 
+#include "decision/upstream/attempt_sample.h"
+#include "decision/upstream/endpoint_concurrency_limit.h"
+#include "decision/upstream/endpoint_load.h"
+#include "decision/upstream/outlier_detector.h"
+#include "decision/upstream/slow_start_tokens.h"
 #include "gateway/events.h"
 
 namespace gateway {
 
-// Its load and speed, as reports and responses tell.
-struct EndpointLoad {
-    double othersInFlight = 0;  // attempts of the other gateways, by its reports
-    double slowness = 1;        // its latency in means of the requests' classes
-    TimePoint observedAt{};     // its latest outcome
-};
+// Owns the state of its parts; each part is changed only through the operations here. Invariants: the subset
+// share lies between 0 and 1; an endpoint that is not listed is not usable.
+class Endpoint {
+public:
+    // An endpoint that is not listed yet. `maxInFlight`: its initial concurrency limit in attempts.
+    explicit Endpoint(double maxInFlight) : concurrency_(maxInFlight) {
+        entry_.availability = Availability::removed;
+    }
 
-// Whether it is left out for its failures (outlier ejection).
-struct EndpointHealth {
-    double errorShare = 0;  // moving share of attempts that failed fast
-    TimePoint ejectedUntil{};
-    bool onProbation = false;  // back from ejection, one attempt at a time until it serves one
-    int consecutiveEjections = 0;
-};
+    // Takes over the endpoint's entry in the list. When the endpoint has restarted, its state is discarded
+    // except for the attempts in flight, its concurrency limit starts over with `maxInFlight`, and the return
+    // value is true.
+    bool applyEntry(const EndpointEntry& entry, double maxInFlight);
 
-// How many own attempts may be in flight there.
-struct EndpointLimit {
-    double maxInFlight = 0;
-    TimePoint cutAt{};
-};
+    // The endpoint is no longer listed.
+    void markRemoved() { entry_.availability = Availability::removed; }
 
-// What it may be sent while it is warming up.
-struct SlowStartTokens {
-    double tokens = 0;     // attempts of mean work
-    double accruedAt = 0;  // the fleet's served work, when tokens last accrued
-};
+    const EndpointEntry& entry() const { return entry_; }
+
+    // Whether the endpoint is listed and not draining.
+    bool isUsable() const { return entry_.availability == Availability::up; }
+
+    // Whether the endpoint is no longer listed and has no attempt in flight, so that it can be forgotten.
+    bool isUnused() const { return entry_.availability == Availability::removed && inFlight() == 0; }
+
+    // An attempt is sent to the endpoint. `work`: in requests of mean work.
+    void beginAttempt(double work);
+
+    // An attempt at the endpoint is over. Precondition: one is in flight.
+    void endAttempt() { concurrency_.endAttempt(); }
+
+    // Learns from an attempt that is over. Precondition: endAttempt() was called for it.
+    void observeAttempt(const AttemptEnded& ended, const AttemptSample& sample, TimePoint now);
+
+    // Attempts of this gateway in flight at the endpoint.
+    int inFlight() const { return concurrency_.inFlight(); }
+    bool hasCapacity() const { return concurrency_.hasCapacity(); }
+    bool isEjected(TimePoint now) const { return outlier_.isEjected(inFlight() > 0, now); }
+
+    const EndpointLoad& load() const { return load_; }
+    const OutlierDetector& outlier() const { return outlier_; }
+    const EndpointConcurrencyLimit& concurrency() const { return concurrency_; }
+    const SlowStartTokens& slowStartTokens() const { return slowStartTokens_; }
+    SlowStartTokens& slowStartTokens() { return slowStartTokens_; }
+
+    // Share of the warm endpoints, or of those that are warming up, that this gateway's subset contains.
+    // 0: the subset does not contain this endpoint.
+    double subsetShare() const { return subsetShare_; }
+    bool isInSubset() const { return subsetShare_ > 0; }
+    void setSubsetShare(double share) { subsetShare_ = share; }
 
-struct Endpoint {
-    EndpointEntry entry;
-    bool usable = false;  // listed and not draining
-    int inFlight = 0;     // own attempts
-    // Of the warm endpoints, or of those that are warming up, the share that this gateway's subset holds; 0:
-    // the subset does not hold this one.
-    double subsetShare = 1;
-    EndpointLoad load;
-    EndpointHealth health;
-    EndpointLimit limit;
-    SlowStartTokens slowStart;
+private:
+    EndpointEntry entry_;
+    double subsetShare_ = 1;
+    EndpointLoad load_;
+    OutlierDetector outlier_;
+    EndpointConcurrencyLimit concurrency_;
+    SlowStartTokens slowStartTokens_;
 };
 
 }  // namespace gateway
--- a/src/decision/upstream/endpoint_picker.cpp
+++ b/src/decision/upstream/endpoint_picker.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <limits>
 #include <span>
+#include <utility>
 
 #include "decision/common/fleet_size.h"
 #include "decision/upstream/outlier_detector.h"
@@ -10,97 +11,111 @@
 namespace gateway {
 namespace {
 
-constexpr double kCrossZoneFactor = 1.1;    // how much worse an endpoint in another zone is taken to be
-constexpr double kProbationFactor = 4;      // the same on probation, for requests that may not be repeated
-constexpr double kTriedBeforeFactor = 100;  // the same for one that had an attempt of this request
-constexpr double kErrorWeight = 3;          // of the error share
-constexpr double kJitter = 0.1;             // spreads gateways that see the same figures
+constexpr double kCrossZoneCostMultiplier = 1.1;
+constexpr double kProbationCostMultiplier = 4;   // for requests that are not safe to repeat
+constexpr double kRepeatedCostMultiplier = 100;  // for each earlier attempt of the request at the endpoint
+constexpr double kErrorRateWeight = 3;
+constexpr double kJitterShare = 0.1;  // keeps gateways with the same view from choosing the same endpoint
 constexpr double kMinSlowness = 0.2;
-constexpr double kMinWeight = 1e-3;
+constexpr double kMinEffectiveWeight = 1e-3;
 
 }  // namespace
 
-std::optional<std::size_t> EndpointPicker::pick(const Request& request, double relativeWork, TimePoint now,
+std::optional<std::size_t> EndpointPicker::pick(const Request& request, double work, TimePoint now,
                                                 RandomSource& random) {
     endpoints_.refreshSubset(now);
-    std::optional<std::size_t> slot = pickFrom(true, request, now, random);
-    if (!slot && isLargeFleet(settings_)) slot = pickFrom(false, request, now, random);
-    if (!slot && !endpoints_.hasServingWarmEndpoint(now)) slowStart_.noteUnserved(relativeWork, now);
+    std::optional<std::size_t> slot = pickInPass(Pass::insideSubset, request, now, random);
+    if (!slot && isLargeFleet(settings_)) slot = pickInPass(Pass::outsideSubset, request, now, random);
+    if (!slot && !endpoints_.hasAvailableWarmEndpoint(now)) slowStart_.recordUnserved(work, now);
     return slot;
 }
 
-std::optional<std::size_t> EndpointPicker::pickFrom(bool subset, const Request& request, TimePoint now,
-                                                    RandomSource& random) {
-    const bool heedEjections = areEjectionsHeeded(now);
-    const bool isSafe = classOf(request).idempotency == Idempotency::safe;
+std::optional<std::size_t> EndpointPicker::pickInPass(Pass pass, const Request& request, TimePoint now,
+                                                      RandomSource& random) {
+    const bool ejectionAllowed = isEjectionAllowed(now);
     const std::span<Endpoint> slots = endpoints_.slots();
     std::optional<std::size_t> best;
     double lowestCost = std::numeric_limits<double>::infinity();
     for (std::size_t slot = 0; slot < slots.size(); ++slot) {
         Endpoint& endpoint = slots[slot];
-        if (!isCandidate(endpoint, subset, heedEjections, now)) continue;
-        const double capacityShare = slowStart_.capacityShare(endpoint.entry, now);
-        if (!slowStart_.mayReceive(endpoint, capacityShare, endpoints_.capacity())) continue;
-        if (!dropsRepeatOf(endpoint, request)) continue;
-        double slotCost = cost(endpoint, capacityShare, now, random);
-        if (endpoint.health.onProbation && !isSafe) slotCost *= kProbationFactor;
-        for (const Attempt& attempt : request.attempts)
-            if (attempt.endpointSlot == slot) slotCost *= kTriedBeforeFactor;
-        if (slotCost >= lowestCost) continue;
+        if (!isCandidate(endpoint, pass, ejectionAllowed, now)) continue;
+        const double capacityShare = slowStart_.capacityShare(endpoint.entry(), now);
+        slowStart_.accrueTokens(endpoint, capacityShare, endpoints_.capacity());
+        if (!SlowStart::mayReceiveAttempt(endpoint, capacityShare)) continue;
+        if (!canDeduplicate(endpoint, request)) continue;
+        const double cost = addPenalties(baseCost(endpoint, capacityShare, now, random), slot, request);
+        if (cost >= lowestCost) continue;
         best = slot;
-        lowestCost = slotCost;
+        lowestCost = cost;
     }
     return best;
 }
 
-bool EndpointPicker::isCandidate(const Endpoint& endpoint, bool subset, bool heedEjections, TimePoint now) {
-    if (!endpoint.usable || !ConcurrencyLimiter::hasCapacity(endpoint)) return false;
-    if (heedEjections && OutlierDetector::isEjected(endpoint, now)) return false;
-    return subset == (endpoint.subsetShare > 0);
+bool EndpointPicker::isCandidate(const Endpoint& endpoint, Pass pass, bool isEjectionAllowed, TimePoint now) {
+    if (!endpoint.isUsable() || !endpoint.hasCapacity()) return false;
+    if (isEjectionAllowed && endpoint.isEjected(now)) return false;
+    return endpoint.isInSubset() == (pass == Pass::insideSubset);
 }
 
-bool EndpointPicker::areEjectionsHeeded(TimePoint now) {
+bool EndpointPicker::isEjectionAllowed(TimePoint now) const {
     int usable = 0;
     int ejected = 0;
-    for (const Endpoint& endpoint : endpoints_.slots()) {
-        if (!endpoint.usable) continue;
+    for (const Endpoint& endpoint : std::as_const(endpoints_).slots()) {
+        if (!endpoint.isUsable()) continue;
         ++usable;
-        if (OutlierDetector::isEjected(endpoint, now)) ++ejected;
+        if (endpoint.isEjected(now)) ++ejected;
     }
-    return OutlierDetector::isEjectionHeeded(ejected, usable);
+    return OutlierDetector::isEjectionAllowed(ejected, usable);
 }
 
-// A request that may have run must reach an endpoint that drops its repeat, unless it may be repeated at
-// will.
-bool EndpointPicker::dropsRepeatOf(const Endpoint& endpoint, const Request& request) const {
-    const RequestClass& terms = classOf(request);
+// Whether the endpoint recognizes a repeat of the request. Only a request that may have run and is not safe
+// to repeat needs that.
+bool EndpointPicker::canDeduplicate(const Endpoint& endpoint, const Request& request) const {
+    const RequestClass& terms = termsOf(request);
     if (!request.possibleRun || terms.idempotency == Idempotency::safe) return true;
     switch (terms.deduplicationScope) {
         case DeduplicationScope::all:
             return true;
         case DeduplicationScope::zone:
-            return request.possibleRun->zone == endpoint.entry.zone;
+            return request.possibleRun->zone == endpoint.entry().zone;
         case DeduplicationScope::cell:
-            return request.possibleRun->cell == endpoint.entry.cell;
+            return request.possibleRun->cell == endpoint.entry().cell;
     }
     return false;
 }
 
-// The lower the better: the load for its capacity, its slowness and its errors.
-double EndpointPicker::cost(const Endpoint& endpoint, double capacityShare, TimePoint now,
-                            RandomSource& random) const {
-    // With sparse traffic the attempts of one that is warming up were drawn by its budget: those go there.
-    if (stats_.isTrafficSparse() && capacityShare < 1) return 0;
-    const double freshness = stats_.freshness(endpoint, now);
-    const double slowness = std::max(1 + (endpoint.load.slowness - 1) * freshness, kMinSlowness);
-    const double mean = stats_.meanOthersInFlight();
-    double load = 1 + endpoint.inFlight + mean + (endpoint.load.othersInFlight - mean) * freshness;
+double EndpointPicker::baseCost(const Endpoint& endpoint, double capacityShare, TimePoint now,
+                                RandomSource& random) const {
+    // Under low local traffic, an endpoint that is warming up receives the attempt that its tokens cover.
+    if (stats_.hasLowLocalTraffic() && capacityShare < 1) return 0;
+    const double freshness = stats_.freshness(endpoint.load(), now);
+    const double slowness = std::max(1 + (endpoint.load().slowness() - 1) * freshness, kMinSlowness);
+    const double effectiveWeight = std::max(endpoint.entry().weight * capacityShare, kMinEffectiveWeight);
+    double cost = expectedInFlight(endpoint, freshness) / effectiveWeight * slowness;
+    if (endpoint.entry().zone != settings_.zone) cost *= kCrossZoneCostMultiplier;
+    return cost * (1 + kErrorRateWeight * endpoint.outlier().errorRate() * freshness) *
+           (1 + kJitterShare * random.next());
+}
+
+// Attempts of all gateways that the endpoint would have in flight with this one.
+double EndpointPicker::expectedInFlight(const Endpoint& endpoint, double freshness) const {
+    // Without load reports, assume that every gateway has as many in flight as this one.
     if (settings_.loadReportSource != LoadReportSource::inResponses)
-        load = 1 + endpoint.inFlight * static_cast<double>(settings_.gatewayCount);
-    double value = load / std::max(endpoint.entry.weight * capacityShare, kMinWeight) * slowness;
-    if (endpoint.entry.zone != settings_.zone) value *= kCrossZoneFactor;
-    return value * (1 + kErrorWeight * endpoint.health.errorShare * freshness) *
-           (1 + kJitter * random.next());
+        return 1 + endpoint.inFlight() * static_cast<double>(settings_.gatewayCount);
+    const double mean = stats_.meanRemoteInFlight();
+    return 1 + endpoint.inFlight() + mean + (endpoint.load().remoteInFlight() - mean) * freshness;
+}
+
+double EndpointPicker::addPenalties(double cost, std::size_t slot, const Request& request) const {
+    const bool isSafe = termsOf(request).idempotency == Idempotency::safe;
+    if (endpoints_.at(slot).outlier().isOnProbation() && !isSafe) cost *= kProbationCostMultiplier;
+    for (const Attempt& attempt : request.attempts)
+        if (attempt.endpointSlot == slot) cost *= kRepeatedCostMultiplier;
+    return cost;
+}
+
+const RequestClass& EndpointPicker::termsOf(const Request& request) const {
+    return settings_.classes[toPosition(request.arrival.requestClass)];
 }
 
 }  // namespace gateway
--- a/src/decision/upstream/endpoint_picker.h
+++ b/src/decision/upstream/endpoint_picker.h
@@ -1,4 +1,4 @@
-// Chooses the endpoint of an attempt.
+// Chooses the endpoint that receives an attempt.
 #pragma once
 
 #include <cstddef>
@@ -13,6 +13,8 @@
 
 namespace gateway {
 
+// Picks the endpoint with the lowest cost: load for its capacity, slowness and error rate. The choice draws
+// one random number for each candidate.
 class EndpointPicker {
 public:
     // All arguments must outlive the picker.
@@ -20,21 +22,27 @@
                    SlowStart& slowStart)
         : settings_(settings), endpoints_(endpoints), stats_(stats), slowStart_(slowStart) {}
 
-    // The slot of the best endpoint for the next attempt of `request`, whose work is `relativeWork`; nothing
-    // where none may take it.
-    std::optional<std::size_t> pick(const Request& request, double relativeWork, TimePoint now,
-                                    RandomSource& random);
+    // Returns the slot of the best endpoint for the next attempt of `request`, or nothing when none may
+    // receive it. `work`: the request's work in requests of mean work. On the way it refreshes the subset and
+    // accrues slow start tokens.
+    std::optional<std::size_t> pick(const Request& request, double work, TimePoint now, RandomSource& random);
 
 private:
-    std::optional<std::size_t> pickFrom(bool subset, const Request& request, TimePoint now,
-                                        RandomSource& random);
-    static bool isCandidate(const Endpoint& endpoint, bool subset, bool heedEjections, TimePoint now);
-    bool areEjectionsHeeded(TimePoint now);
-    bool dropsRepeatOf(const Endpoint& endpoint, const Request& request) const;
-    double cost(const Endpoint& endpoint, double capacityShare, TimePoint now, RandomSource& random) const;
-    const RequestClass& classOf(const Request& request) const {
-        return settings_.classes[toPosition(request.arrival.requestClass)];
-    }
+    // Which endpoints one pass over the slots considers.
+    enum class Pass { insideSubset, outsideSubset };
+
+    std::optional<std::size_t> pickInPass(Pass pass, const Request& request, TimePoint now,
+                                          RandomSource& random);
+    static bool isCandidate(const Endpoint& endpoint, Pass pass, bool isEjectionAllowed, TimePoint now);
+    bool isEjectionAllowed(TimePoint now) const;
+    bool canDeduplicate(const Endpoint& endpoint, const Request& request) const;
+
+    // Costs are dimensionless; the lower, the better.
+    double baseCost(const Endpoint& endpoint, double capacityShare, TimePoint now,
+                    RandomSource& random) const;
+    double expectedInFlight(const Endpoint& endpoint, double freshness) const;
+    double addPenalties(double cost, std::size_t slot, const Request& request) const;
+    const RequestClass& termsOf(const Request& request) const;
 
     const Settings& settings_;
     EndpointSet& endpoints_;
--- a/src/decision/upstream/endpoint_set.cpp
+++ b/src/decision/upstream/endpoint_set.cpp
@@ -1,116 +1,76 @@
 #include "decision/upstream/endpoint_set.h"
 
 #include <algorithm>
-#include <cmath>
 #include <utility>
 
-#include "decision/common/fleet_size.h"
-#include "decision/upstream/outlier_detector.h"
-
 namespace gateway {
-namespace {
-
-constexpr double kMinSubsetSize = 8;  // endpoints that a gateway of a large fleet uses at least
-constexpr double kMinGateways = 10;   // by which each endpoint is used at least
-constexpr Duration kSubsetLifetime = std::chrono::seconds(1);
-
-}  // namespace
 
 void EndpointSet::apply(const EndpointUpdate& update, TimePoint now) {
+    // A snapshot is complete: an endpoint that it does not list was removed.
     if (update.kind != UpdateKind::delta)
-        for (Endpoint& endpoint : endpoints_) {  // what a snapshot lacks was removed
-            endpoint.usable = false;
-            endpoint.entry.availability = Availability::removed;
-        }
+        for (Endpoint& endpoint : endpoints_) endpoint.markRemoved();
     for (const EndpointEntry& entry : update.entries) applyEntry(entry);
-    releaseSlots();
-    rebuildSubset(now);
+    releaseUnusedSlots();
+    redrawSubset(now);
 }
 
 void EndpointSet::applyEntry(const EndpointEntry& entry) {
-    Endpoint& endpoint = endpoints_[slotOf(entry.endpoint)];
-    const bool restarted = entry.startedAt > endpoint.entry.startedAt;
-    if (restarted) {  // what was known of the old process is void
-        const int inFlight = endpoint.inFlight;
-        endpoint = Endpoint{};
-        endpoint.inFlight = inFlight;
-        endpoint.limit.maxInFlight = limiter_.initialEndpointLimit();
-    }
-    endpoint.entry = entry;
-    endpoint.usable = entry.availability == Availability::up;
-    if (restarted) slowStart_.onStart(endpoint);
+    Endpoint& endpoint = endpoints_[findOrAssignSlot(entry.endpoint)];
+    const bool hasRestarted = endpoint.applyEntry(entry, limiter_.initialEndpointLimit());
+    if (hasRestarted) slowStart_.startTokens(endpoint);
 }
 
-std::size_t EndpointSet::slotOf(const EndpointId& name) {
+std::size_t EndpointSet::findOrAssignSlot(const EndpointId& name) {
     const std::size_t next = freeSlots_.empty() ? endpoints_.size() : freeSlots_.back();
-    const auto [found, added] = slotByName_.try_emplace(name, next);
-    if (!added) return found->second;
-    if (next == endpoints_.size())
-        endpoints_.emplace_back();
+    const auto [found, isNew] = slotByName_.try_emplace(name, next);
+    if (!isNew) return found->second;
+    if (freeSlots_.empty())
+        endpoints_.emplace_back(limiter_.initialEndpointLimit());
     else
         freeSlots_.pop_back();
-    endpoints_[next].limit.maxInFlight = limiter_.initialEndpointLimit();
     return next;
 }
 
-// Endpoints that were removed leave their slots once no attempt is in flight there: in a fleet that is
-// replaced all day they would be walked for every choice.
-void EndpointSet::releaseSlots() {
-    std::erase_if(slotByName_, [&](const auto& named) {
-        Endpoint& endpoint = endpoints_[named.second];
-        if (endpoint.entry.availability != Availability::removed || endpoint.inFlight > 0) return false;
-        endpoint = Endpoint{};
-        freeSlots_.push_back(named.second);
-        return true;
-    });
+// Frees the slots of removed endpoints. The picker walks every slot for each attempt, and in a fleet whose
+// endpoints are replaced all the time the number of slots would grow without bound.
+void EndpointSet::releaseUnusedSlots() {
+    for (auto named = slotByName_.begin(); named != slotByName_.end();) {
+        Endpoint& endpoint = endpoints_[named->second];
+        if (!endpoint.isUnused()) {
+            ++named;
+            continue;
+        }
+        endpoint = Endpoint(limiter_.initialEndpointLimit());
+        freeSlots_.push_back(named->second);
+        named = slotByName_.erase(named);
+    }
 }
 
 void EndpointSet::refreshSubset(TimePoint now) {
-    if (now - subsetDrawnAt_ > kSubsetLifetime) rebuildSubset(now);
+    if (subset_.isStale(now)) redrawSubset(now);
 }
 
-// Deterministic subsetting. In a large fleet each gateway uses a part of the endpoints: a connection costs an
-// endpoint work and room, a new one costs the request time, and of fewer endpoints each is heard of more
-// often. The parts are arcs of the sorted names, so that each endpoint is in as many as any other; those that
-// are warming up and warm ones have arcs of their own, so that each part has its share of both.
-void EndpointSet::rebuildSubset(TimePoint now) {
-    subsetDrawnAt_ = now;
-    const FleetCapacity previous = std::exchange(capacity_, FleetCapacity{});
+void EndpointSet::redrawSubset(TimePoint now) {
+    FleetCapacity capacity;
     std::vector<Endpoint*> warm;
     std::vector<Endpoint*> warmingUp;
     for (Endpoint& endpoint : endpoints_) {
-        if (endpoint.usable) {
-            const double share = slowStart_.capacityShare(endpoint.entry, now);
-            if (share < 1) slowStart_.accrue(endpoint, share, previous);  // by its share of the old subset
-            capacity_.weight += endpoint.entry.weight;
-            capacity_.effectiveWeight += endpoint.entry.weight * share;
-            (share < 1 ? warmingUp : warm).push_back(&endpoint);
-        }
-        if (isLargeFleet(settings_)) endpoint.subsetShare = 0;
+        if (!endpoint.isUsable()) continue;
+        const double capacityShare = slowStart_.capacityShare(endpoint.entry(), now);
+        // Tokens accrue by the capacity and the subset that were in force until now.
+        slowStart_.accrueTokens(endpoint, capacityShare, capacity_);
+        capacity.add(endpoint.entry().weight, capacityShare);
+        std::vector<Endpoint*>& ring = capacityShare < 1 ? warmingUp : warm;
+        ring.push_back(&endpoint);
     }
-    capacity_.hasWarmEndpoint = !warm.empty();
-    if (!isLargeFleet(settings_)) return;
-    const double usable = static_cast<double>(warm.size() + warmingUp.size());
-    const double used = std::max(kMinSubsetSize, usable * kMinGateways / settings_.gatewayCount);
-    assignArc(warm, used / usable);
-    assignArc(warmingUp, used / usable);
-}
-
-void EndpointSet::assignArc(std::vector<Endpoint*>& ring, double share) const {
-    if (ring.empty()) return;
-    std::sort(ring.begin(), ring.end(),
-              [](const Endpoint* a, const Endpoint* b) { return a->entry.endpoint < b->entry.endpoint; });
-    const double size = static_cast<double>(ring.size());
-    const auto length = static_cast<std::size_t>(std::min(size, std::ceil(size * share)));
-    const auto from = static_cast<std::size_t>(size * settings_.gatewayIndex / settings_.gatewayCount);
-    for (std::size_t i = 0; i < length; ++i)
-        ring[(from + i) % ring.size()]->subsetShare = static_cast<double>(length) / size;
+    capacity_ = capacity;
+    subset_.draw(endpoints_, std::move(warm), std::move(warmingUp), now);
 }
 
-bool EndpointSet::hasServingWarmEndpoint(TimePoint now) const {
+bool EndpointSet::hasAvailableWarmEndpoint(TimePoint now) const {
     return std::any_of(endpoints_.begin(), endpoints_.end(), [&](const Endpoint& endpoint) {
-        return endpoint.usable && !OutlierDetector::isEjected(endpoint, now) &&
-               !slowStart_.isWarmingUp(endpoint, now);
+        return endpoint.isUsable() && !endpoint.isEjected(now) &&
+               !slowStart_.isWarmingUp(endpoint.entry(), now);
     });
 }
 
--- a/src/decision/upstream/endpoint_set.h
+++ b/src/decision/upstream/endpoint_set.h
@@ -1,4 +1,4 @@
-// The endpoints that discovery lists, and the subset of them that this gateway uses.
+// The endpoints that discovery lists, each in a slot of its own.
 #pragma once
 
 #include <cstddef>
@@ -8,50 +8,56 @@
 
 #include "decision/upstream/concurrency_limiter.h"
 #include "decision/upstream/endpoint.h"
+#include "decision/upstream/endpoint_subset.h"
+#include "decision/upstream/fleet_capacity.h"
 #include "decision/upstream/slow_start.h"
 #include "gateway/settings.h"
 
 namespace gateway {
 
+// Owns the endpoints. Invariants: an endpoint keeps its slot while it is listed or has an attempt in flight;
+// a slot that no endpoint has is not usable.
 class EndpointSet {
 public:
-    // All arguments must outlive the set.
+    // `slowStart` and `limiter` must outlive the set.
     EndpointSet(const Settings& settings, const SlowStart& slowStart, const ConcurrencyLimiter& limiter)
-        : settings_(settings), slowStart_(slowStart), limiter_(limiter) {}
+        : slowStart_(slowStart), limiter_(limiter), subset_(settings) {}
 
-    // Takes in what discovery reported.
+    // Takes in an endpoint list, or changes of it. Precondition: the update is not a failed one.
     void apply(const EndpointUpdate& update, TimePoint now);
 
-    // Draws the subset anew if it is old: some endpoints have warmed up meanwhile.
+    // Draws the subset again if the latest draw is old.
     void refreshSubset(TimePoint now);
 
-    // An endpoint keeps its slot while it is listed or has an attempt in flight.
+    // The endpoint in the slot. Valid until the next call of apply(). Precondition: the slot exists.
     Endpoint& at(std::size_t slot) { return endpoints_[slot]; }
+
+    // All slots, those without an endpoint included. Valid until the next call of apply().
     std::span<Endpoint> slots() { return endpoints_; }
+    std::span<const Endpoint> slots() const { return endpoints_; }
 
-    // Endpoints that are listed, draining ones too, or have an attempt in flight.
-    std::size_t listed() const { return slotByName_.size(); }
+    // Number of endpoints that are listed, draining ones included, or have an attempt in flight.
+    std::size_t listedCount() const { return slotByName_.size(); }
 
+    // Capacity of the usable endpoints at the latest draw of the subset.
     const FleetCapacity& capacity() const { return capacity_; }
 
-    // Some usable endpoint is neither warming up nor ejected.
-    bool hasServingWarmEndpoint(TimePoint now) const;
+    // Whether some usable endpoint is neither warming up nor ejected.
+    bool hasAvailableWarmEndpoint(TimePoint now) const;
 
 private:
-    std::size_t slotOf(const EndpointId& name);
     void applyEntry(const EndpointEntry& entry);
-    void releaseSlots();
-    void rebuildSubset(TimePoint now);
-    void assignArc(std::vector<Endpoint*>& ring, double share) const;
+    std::size_t findOrAssignSlot(const EndpointId& name);
+    void releaseUnusedSlots();
+    void redrawSubset(TimePoint now);
 
-    const Settings& settings_;
     const SlowStart& slowStart_;
     const ConcurrencyLimiter& limiter_;
-    std::vector<Endpoint> endpoints_;
+    std::vector<Endpoint> endpoints_;  // by slot
     std::unordered_map<EndpointId, std::size_t> slotByName_;
     std::vector<std::size_t> freeSlots_;
     FleetCapacity capacity_;
-    TimePoint subsetDrawnAt_{};
+    EndpointSubset subset_;
 };
 
 }  // namespace gateway
--- a/src/decision/upstream/endpoint_stats.cpp
+++ b/src/decision/upstream/endpoint_stats.cpp
@@ -2,46 +2,32 @@
 
 #include <algorithm>
 #include <cmath>
-#include <utility>
 
 #include "decision/common/arithmetic.h"
 
 namespace gateway {
 namespace {
 
-constexpr double kReportSmoothing = 0.3;  // weight of an endpoint's new load report
-constexpr double kSmoothing = 0.15;       // weight of a new sample in the other means
-constexpr double kMaxSlowness = 10.0;     // in class means; more tells no more
-constexpr double kFreshSeconds = 3;       // after which what was heard is mostly forgotten
+constexpr double kMeanSmoothing = 0.15;  // weight of a new observation
+constexpr double kFreshnessSeconds = 3;  // min time constant of the decay
 
 }  // namespace
 
-void EndpointStats::observe(Endpoint& endpoint, const AttemptEnded& ended, std::size_t endpoints,
-                            TimePoint now) {
-    EndpointLoad& load = endpoint.load;
-    if (ended.report && ended.report->inFlight) {
-        const double others = std::max(0.0, *ended.report->inFlight - endpoint.inFlight);
-        load.othersInFlight = movingAverage(load.othersInFlight, others, kReportSmoothing);
-    }
-    othersInFlight_ = movingAverage(othersInFlight_, load.othersInFlight, kSmoothing);
-    const double gap = toSeconds(now - std::exchange(observedAt_, now));
-    observationSeconds_ =
-        movingAverage(observationSeconds_, gap * static_cast<double>(endpoints), kSmoothing);
+void EndpointStats::observe(const EndpointLoad& load, std::size_t endpointCount, TimePoint now) {
+    meanRemoteInFlight_ = movingAverage(meanRemoteInFlight_, load.remoteInFlight(), kMeanSmoothing);
+    const double gapSeconds = toSeconds(now - observedAt_);
+    observedAt_ = now;
+    observationIntervalSeconds_ = movingAverage(
+        observationIntervalSeconds_, gapSeconds * static_cast<double>(endpointCount), kMeanSmoothing);
 }
 
-void EndpointStats::observeLatency(Endpoint& endpoint, const AttemptSample& sample) {
-    if (!(sample.served || sample.timedOut) || sample.classSeconds <= 0) return;
-    const double slowness = std::min(sample.seconds / sample.classSeconds, kMaxSlowness);
-    endpoint.load.slowness = movingAverage(endpoint.load.slowness, slowness, kSmoothing);
+double EndpointStats::freshness(const EndpointLoad& load, TimePoint now) const {
+    const double ageSeconds = toSeconds(now - load.observedAt());
+    return std::exp(-ageSeconds / std::max(kFreshnessSeconds, observationIntervalSeconds_));
 }
 
-double EndpointStats::freshness(const Endpoint& endpoint, TimePoint now) const {
-    const double age = toSeconds(now - endpoint.load.observedAt);
-    return std::exp(-age / std::max(kFreshSeconds, observationSeconds_));
-}
-
-bool EndpointStats::isTrafficSparse() const {
-    return observationSeconds_ > kFreshSeconds;
+bool EndpointStats::hasLowLocalTraffic() const {
+    return observationIntervalSeconds_ > kFreshnessSeconds;
 }
 
 }  // namespace gateway
--- a/src/decision/upstream/endpoint_stats.h
+++ b/src/decision/upstream/endpoint_stats.h
@@ -1,37 +1,36 @@
-// What this gateway hears of endpoints' load, and how fresh that is.
+// Fleet-wide view of the endpoints' load, and how far the view of one endpoint can still be trusted.
 #pragma once
 
 #include <cstddef>
 
-#include "decision/upstream/endpoint.h"
-#include "decision/upstream/latency_stats.h"
+#include "decision/upstream/endpoint_load.h"
+#include "gateway/types.h"
 
 namespace gateway {
 
+// Invariant: the observation interval is never negative while time does not run backwards.
 class EndpointStats {
 public:
-    // To be called once, at this gateway's start.
+    // Precondition: called once, before the first observation.
     void start(TimePoint now) { observedAt_ = now; }
 
-    // An attempt at one of `endpoints` listed endpoints ended, with or without a load report.
-    void observe(Endpoint& endpoint, const AttemptEnded& ended, std::size_t endpoints, TimePoint now);
+    // An attempt ended at one of `endpointCount` listed endpoints. `load` is the state of that endpoint
+    // after the attempt.
+    void observe(const EndpointLoad& load, std::size_t endpointCount, TimePoint now);
 
-    // Its speed, from the same attempt.
-    static void observeLatency(Endpoint& endpoint, const AttemptSample& sample);
+    // Weight of an endpoint's own state against the fleet's mean, from 1 down to 0. It decays with the age of
+    // the latest outcome, more slowly where outcomes arrive rarely.
+    double freshness(const EndpointLoad& load, TimePoint now) const;
 
-    // Weight of what was heard of an endpoint, from 1 down to 0: it fades to the fleet's mean, at least as
-    // slowly as all endpoints are heard of once.
-    double freshness(const Endpoint& endpoint, TimePoint now) const;
+    // Mean over the endpoints of the attempts that the other gateways have in flight at one of them.
+    double meanRemoteInFlight() const { return meanRemoteInFlight_; }
 
-    // Attempts of the other gateways at an endpoint, the mean over all.
-    double meanOthersInFlight() const { return othersInFlight_; }
-
-    // So little traffic comes here that endpoints are heard of seldom.
-    bool isTrafficSparse() const;
+    // Whether this gateway has low local traffic: too little to observe every endpoint often.
+    bool hasLowLocalTraffic() const;
 
 private:
-    double othersInFlight_ = 0;
-    double observationSeconds_ = 0;  // in which this gateway hears of every endpoint once, about
+    double meanRemoteInFlight_ = 0;
+    double observationIntervalSeconds_ = 0;  // in which this gateway observes every endpoint once on average
     TimePoint observedAt_{};
 };
 
--- /dev/null
+++ b/src/decision/upstream/fleet_capacity.h
@@ -0,0 +1,31 @@
+// Capacity of all usable endpoints together.
+#pragma once
+
+namespace gateway {
+
+// Sums of the endpoints' weights. Invariant: the effective weight lies between 0 and the full weight.
+class FleetCapacity {
+public:
+    // Adds an endpoint. `capacityShare`: the share of its full capacity that it has now, above 0 up to 1;
+    // below 1 it is warming up.
+    void add(double weight, double capacityShare) {
+        fullWeight_ += weight;
+        effectiveWeight_ += weight * capacityShare;
+        if (capacityShare >= 1) hasWarmEndpoint_ = true;
+    }
+
+    // The weight when every endpoint is warm.
+    double fullWeight() const { return fullWeight_; }
+
+    // The weight at the endpoints' present capacity.
+    double effectiveWeight() const { return effectiveWeight_; }
+
+    bool hasWarmEndpoint() const { return hasWarmEndpoint_; }
+
+private:
+    double fullWeight_ = 0;
+    double effectiveWeight_ = 0;
+    bool hasWarmEndpoint_ = false;
+};
+
+}  // namespace gateway
--- a/src/decision/upstream/latency_stats.h
+++ b/src/decision/upstream/latency_stats.h
@@ -1,51 +1,35 @@
-// How long responses of each class take, and what a single attempt tells.
+// Response times of each request class, and the time limits that follow from them.
 #pragma once
 
-#include <cstddef>
 #include <vector>
 
 #include "decision/engine/request.h"
+#include "decision/upstream/attempt_sample.h"
 #include "gateway/events.h"
 #include "gateway/settings.h"
 
 namespace gateway {
 
-// The share of slow responses that concurrency limits settle at.
-constexpr double kTargetSlowShare = 0.1;
-
-// Share of its latency objective from which a response counts as slow.
-constexpr double kSlowObjectiveShare = 0.6;
-
-// What an attempt that ended shows of its endpoint and of the load.
-struct AttemptSample {
-    double seconds = 0;         // it took
-    double objectiveShare = 0;  // the same as a share of its class's latency objective
-    double classSeconds = 0;    // the mean of its class, this one in; 0: none yet
-    bool served = false;        // a whole response that was not streamed
-    bool timedOut = false;
-    bool slow = false;        // a slow response, or a time-out
-    bool overloaded = false;  // slow, or turned away
-};
-
+// Preconditions of all operations: the request class is one of the settings'.
 class LatencyStats {
 public:
     // `settings` must outlive the statistics.
     explicit LatencyStats(const Settings& settings);
 
-    // Takes in an attempt that ended.
+    // Takes in an attempt of `request` that ended, and measures it against its class.
     AttemptSample observe(const Request& request, const AttemptEnded& ended);
 
-    // Seconds that a request of this class usually takes.
+    // Mean response time of the class in seconds; before the first response, an estimate. Above 0.
     double expectedSeconds(RequestClassIndex requestClass) const;
 
-    // A request's work, in requests of mean work.
+    // Work of a request of this class, in requests of mean work. 1 before the first response.
     double relativeWork(RequestClassIndex requestClass) const;
 
-    // Until when a response earns its full weight, from the request's arrival.
+    // Time from a request's arrival within which its response earns the full weight.
     Duration latencyObjective(RequestClassIndex requestClass) const;
 
-    // How long an attempt that begins now may take: until the client leaves, or until its response is worth
-    // nothing.
+    // Time that remains for an attempt that starts now, until the client disconnects or the response earns
+    // nothing. Zero or negative: too late.
     Duration timeLeft(const Request& request, TimePoint now) const;
 
 private:
@@ -54,8 +38,10 @@
         int samples = 0;
     };
 
+    const RequestClass& termsOf(RequestClassIndex requestClass) const;
+
     const Settings& settings_;
-    std::vector<ClassLatency> classes_;
+    std::vector<ClassLatency> classes_;  // by RequestClassIndex
 };
 
 }  // namespace gateway
--- a/src/decision/upstream/outlier_detector.cpp
+++ b/src/decision/upstream/outlier_detector.cpp
@@ -1,61 +1,68 @@
 #include "decision/upstream/outlier_detector.h"
 
 #include <algorithm>
-#include <cmath>
-#include <utility>
+#include <chrono>
 
 #include "decision/common/arithmetic.h"
 
 namespace gateway {
 namespace {
 
-constexpr double kErrorSmoothing = 0.15;     // weight of a new outcome in the error share
-constexpr double kEjectionErrorShare = 0.3;  // error share at which an endpoint is ejected
-constexpr double kFirstEjectionSeconds = 1;  // doubles with each further one in a row
-constexpr double kMaxEjectionSeconds = 8;
-constexpr double kMaxEjectedShare = 0.5;  // of the usable endpoints
-constexpr int kMaxEjectionCount = 10;     // that lengthens an ejection
+constexpr double kErrorRateSmoothing = 0.15;  // weight of a new outcome
+constexpr double kEjectionErrorRate = 0.3;    // an endpoint with a higher error rate is ejected
+constexpr double kProbationErrorRate =
+    kEjectionErrorRate / 2;                                   // max after probation, to allow for one failure
+constexpr double kHealthyErrorRate = kEjectionErrorRate / 4;  // a lower one ends a series of ejections
+constexpr Duration kFirstEjection = std::chrono::seconds(1);  // doubles with each consecutive ejection
+constexpr Duration kMaxEjection = std::chrono::seconds(8);
+constexpr int kMaxConsecutiveEjections = 10;  // that are counted
+constexpr double kMaxEjectedShare = 0.5;      // of the usable endpoints
 
 }  // namespace
 
-void OutlierDetector::observe(EndpointHealth& health, Outcome outcome, TimePoint now) {
+void OutlierDetector::observe(Outcome outcome, TimePoint now) {
     switch (outcome) {
         case Outcome::ok:
-            health.errorShare = movingAverage(health.errorShare, 0, kErrorSmoothing);
-            if (std::exchange(health.onProbation, false))
-                health.errorShare = std::min(health.errorShare, kEjectionErrorShare / 2);
-            else if (health.errorShare < kEjectionErrorShare / 4)
-                health.consecutiveEjections = 0;
-            return;
+            recordSuccess();
+            break;
         case Outcome::error:
         case Outcome::reset:
         case Outcome::rejected:
-            health.errorShare = movingAverage(health.errorShare, 1, kErrorSmoothing);
-            if (health.errorShare > kEjectionErrorShare || health.onProbation) eject(health, now);
-            return;
+            recordFailure(now);
+            break;
         case Outcome::connectFailed:
-            return eject(health, now);
+            eject(now);
+            break;
         case Outcome::timedOut:
         case Outcome::cancelled:
         case Outcome::notSent:
-            return;
+            break;
     }
 }
 
-void OutlierDetector::eject(EndpointHealth& health, TimePoint now) {
-    if (now < health.ejectedUntil) return;
-    const double seconds = kFirstEjectionSeconds * std::exp2(health.consecutiveEjections);
-    health.ejectedUntil = now + fromSeconds(std::min(kMaxEjectionSeconds, seconds));
-    health.consecutiveEjections = std::min(health.consecutiveEjections + 1, kMaxEjectionCount);
-    health.onProbation = true;
+void OutlierDetector::recordSuccess() {
+    errorRate_ = movingAverage(errorRate_, 0, kErrorRateSmoothing);
+    if (onProbation_) {
+        onProbation_ = false;
+        errorRate_ = std::min(errorRate_, kProbationErrorRate);
+    } else if (errorRate_ < kHealthyErrorRate) {
+        consecutiveEjections_ = 0;
+    }
+}
+
+void OutlierDetector::recordFailure(TimePoint now) {
+    errorRate_ = movingAverage(errorRate_, 1, kErrorRateSmoothing);
+    if (errorRate_ > kEjectionErrorRate || onProbation_) eject(now);
 }
 
-bool OutlierDetector::isEjected(const Endpoint& endpoint, TimePoint now) {
-    const EndpointHealth& health = endpoint.health;
-    return now < health.ejectedUntil || (health.onProbation && endpoint.inFlight > 0);
+void OutlierDetector::eject(TimePoint now) {
+    if (now < ejectedUntil_) return;
+    ejectedUntil_ = now + std::min(kMaxEjection, kFirstEjection * (1 << consecutiveEjections_));
+    consecutiveEjections_ = std::min(consecutiveEjections_ + 1, kMaxConsecutiveEjections);
+    onProbation_ = true;
 }
 
-bool OutlierDetector::isEjectionHeeded(int ejected, int usable) {
+bool OutlierDetector::isEjectionAllowed(int ejected, int usable) {
     return ejected <= usable * kMaxEjectedShare;
 }
 
--- a/src/decision/upstream/retry_policy.cpp
+++ b/src/decision/upstream/retry_policy.cpp
@@ -11,39 +11,49 @@
 
 }  // namespace
 
-void RetryPolicy::onFirstAttempt() {
+void RetryPolicy::recordFirstAttempt() {
     tokens_ = std::min(kMaxTokens, tokens_ + kTokensPerFirstAttempt);
 }
 
-bool RetryPolicy::takeRetry(const Request& request, TimePoint now) {
-    if (static_cast<int>(request.attempts.size()) >= settings_.maxAttempts || tokens_ < 1) return false;
-    if (request.hasAttemptInFlight()) return false;
-    const double expected = latency_.expectedSeconds(request.arrival.requestClass);
-    if (toSeconds(latency_.timeLeft(request, now)) < expected) return false;
-    const bool isSafe = classOf(request).idempotency == Idempotency::safe;
-    if (request.possibleRun && !isSafe && !isWithinIdempotencyWindow(request, now)) return false;
+bool RetryPolicy::tryAcquireRetry(const Request& request, TimePoint now) {
+    if (tokens_ < 1 || !canRetry(request, now)) return false;
     tokens_ -= 1;
     return true;
 }
 
-bool RetryPolicy::isRepeatHarmless(const Request& request, TimePoint now) const {
-    if (classOf(request).idempotency == Idempotency::safe) return true;
+bool RetryPolicy::canRetry(const Request& request, TimePoint now) const {
+    if (static_cast<int>(request.attempts.size()) >= settings_.maxAttempts) return false;
+    if (request.hasAttemptInFlight()) return false;
+    const double expectedSeconds = latency_.expectedSeconds(request.arrival.requestClass);
+    if (toSeconds(latency_.timeLeft(request, now)) < expectedSeconds) return false;
+    const bool isSafe = termsOf(request).idempotency == Idempotency::safe;
+    return !request.possibleRun || isSafe || isWithinIdempotencyWindow(request, now);
+}
+
+bool RetryPolicy::isClientRetrySafe(const Request& request, TimePoint now) const {
+    const RequestClass& terms = termsOf(request);
+    if (terms.idempotency == Idempotency::safe) return true;
     if (!request.possibleRun) return !request.hasAttemptInFlight();
-    return classOf(request).deduplicationScope == DeduplicationScope::all &&
-           isWithinIdempotencyWindow(request, now);
+    // The client's retry may reach any endpoint, so all of them have to deduplicate it.
+    return terms.deduplicationScope == DeduplicationScope::all && isWithinIdempotencyWindow(request, now);
 }
 
 Duration RetryPolicy::beginWithin(const Request& request, TimePoint now) const {
-    const RequestClass& terms = classOf(request);
+    const RequestClass& terms = termsOf(request);
     if (!request.possibleRun || terms.idempotency != Idempotency::withKey) return Duration{};
     return request.possibleRun->since + terms.idempotencyWindow - now;
 }
 
-// Endpoints drop a repeat of the request, which may have run.
+// Whether endpoints still deduplicate a repeat by its idempotency key. Precondition: the request may have
+// run.
 bool RetryPolicy::isWithinIdempotencyWindow(const Request& request, TimePoint now) const {
-    const RequestClass& terms = classOf(request);
+    const RequestClass& terms = termsOf(request);
     return terms.idempotency == Idempotency::withKey &&
            now < request.possibleRun->since + terms.idempotencyWindow;
 }
 
+const RequestClass& RetryPolicy::termsOf(const Request& request) const {
+    return settings_.classes[toPosition(request.arrival.requestClass)];
+}
+
 }  // namespace gateway
--- a/src/decision/upstream/slow_start.cpp
+++ b/src/decision/upstream/slow_start.cpp
@@ -1,20 +1,18 @@
 #include "decision/upstream/slow_start.h"
 
 #include <algorithm>
-#include <utility>
 
 #include "decision/common/arithmetic.h"
 
 namespace gateway {
 namespace {
 
-constexpr double kSlowShareSmoothing = 0.05;    // weight of a new response in the share of slow ones
-constexpr double kOverloadMargin = 0.9;         // share of the overload multiple that is used
-constexpr double kSparseTrafficReserve = 1.25;  // with sparse traffic that share is less by this factor
-constexpr double kMaxTokens = 1.5;              // attempts that each gateway may save up for an endpoint
-constexpr double kUnservedCredit = 0.5;  // what a request counts that finds no endpoint, as if it were served
-constexpr int kUnservedWindowPart = 8;   // of the overload window without a success, from which that counts
-constexpr double kMinCapacity = 1e-9;    // against division by zero
+constexpr double kSlowShareSmoothing = 0.05;  // weight of a new response
+constexpr double kUsedOverloadShare = 0.9;    // share of the overload multiple that budgets may use
+constexpr double kLowTrafficReserve = 1.25;   // divides the budgets under low local traffic
+constexpr double kUnservedCreditShare = 0.5;  // share of an unserved request's work that counts as served
+constexpr int kUnservedWindowDivisor = 8;     // of the overload window: min time without a success
+constexpr double kMinFleetCapacity = 1e-9;    // guards against division by zero
 
 }  // namespace
 
@@ -25,54 +23,69 @@
     return age >= 1 ? 1 : initial + (1 - initial) * std::max(age, 0.0);
 }
 
-void SlowStart::onStart(Endpoint& endpoint) const {
-    const EndpointEntry& entry = endpoint.entry;
-    endpoint.slowStart.tokens =
+void SlowStart::startTokens(Endpoint& endpoint) const {
+    const EndpointEntry& entry = endpoint.entry();
+    const double tokens =
         evenlySpreadFraction(entry.endpoint.value(), entry.startedAt, settings_.gatewayIndex);
-    endpoint.slowStart.accruedAt = servedWork_;
+    endpoint.slowStartTokens().start(tokens, servedWork_);
 }
 
-void SlowStart::accrue(Endpoint& endpoint, double capacityShare, const FleetCapacity& fleet) const {
-    const double served = servedWork_ - std::exchange(endpoint.slowStart.accruedAt, servedWork_);
-    if (endpoint.subsetShare <= 0) return;
-    const double share = capacityShare * endpoint.entry.weight * budgetMultiple(fleet) / endpoint.subsetShare;
-    // With sparse traffic turns come by the chance of who gets the requests, which needs a reserve.
-    const double capacity = stats_.isTrafficSparse()
-                                ? std::max(fleet.weight, kSparseTrafficReserve * fleet.effectiveWeight)
-                                : fleet.effectiveWeight;
-    const double accrued = share * served / std::max(capacity, kMinCapacity);
-    endpoint.slowStart.tokens = std::min(kMaxTokens, endpoint.slowStart.tokens + accrued);
+void SlowStart::accrueTokens(Endpoint& endpoint, double capacityShare, const FleetCapacity& fleet) const {
+    if (capacityShare >= 1) return;
+    if (!endpoint.isInSubset()) {
+        endpoint.slowStartTokens().skip(servedWork_);
+        return;
+    }
+    endpoint.slowStartTokens().accrue(servedWork_, endpointCapacity(endpoint, capacityShare, fleet),
+                                      fleetCapacity(fleet));
 }
 
-// By its share an endpoint is as busy as warm ones are; more would queue there while those have room. Up to
-// the overload multiple of that goes to it while they respond slowly and it doesn't, or where none is warm.
-double SlowStart::budgetMultiple(const FleetCapacity& fleet) const {
-    const double slower = (slowShareWarm_ - slowShareWarmingUp_) / kTargetSlowShare;
-    const double pressure = fleet.hasWarmEndpoint ? std::clamp(slower, 0.0, 1.0) : 1;
-    return 1 + (std::max(1.0, settings_.overloadMultiple * kOverloadMargin) - 1) * pressure;
+// Capacity that this gateway may use. The gateways whose subsets contain the endpoint share its capacity.
+double SlowStart::endpointCapacity(const Endpoint& endpoint, double capacityShare,
+                                   const FleetCapacity& fleet) const {
+    return capacityShare * endpoint.entry().weight * budgetMultiplier(fleet) / endpoint.subsetShare();
 }
 
-bool SlowStart::mayReceive(Endpoint& endpoint, double capacityShare, const FleetCapacity& fleet) const {
+double SlowStart::fleetCapacity(const FleetCapacity& fleet) const {
+    double capacity = fleet.effectiveWeight();
+    // Under low local traffic, chance decides which gateways receive the requests, so the gateways do not
+    // take even turns. The budgets need a reserve.
+    if (stats_.hasLowLocalTraffic())
+        capacity = std::max(fleet.fullWeight(), kLowTrafficReserve * fleet.effectiveWeight());
+    return std::max(capacity, kMinFleetCapacity);
+}
+
+// With a multiplier of 1 an endpoint is as busy as the warm ones; more attempts would queue there while the
+// warm ones have capacity left. The multiplier rises towards the overload multiple while the warm endpoints
+// respond slowly and those that are warming up do not, or when no endpoint is warm.
+double SlowStart::budgetMultiplier(const FleetCapacity& fleet) const {
+    const double excessSlowShare = (slowShareOfWarm_ - slowShareOfWarmingUp_) / kTargetSlowShare;
+    const double pressure = fleet.hasWarmEndpoint() ? std::clamp(excessSlowShare, 0.0, 1.0) : 1;
+    const double maxMultiplier = std::max(1.0, settings_.overloadMultiple * kUsedOverloadShare);
+    return 1 + (maxMultiplier - 1) * pressure;
+}
+
+bool SlowStart::mayReceiveAttempt(const Endpoint& endpoint, double capacityShare) {
     if (capacityShare >= 1) return true;
-    accrue(endpoint, capacityShare, fleet);
-    return endpoint.subsetShare > 0 && endpoint.slowStart.tokens >= 1;
+    return endpoint.isInSubset() && endpoint.slowStartTokens().hasToken();
 }
 
 void SlowStart::observe(const Endpoint& endpoint, const AttemptSample& sample, TimePoint now) {
     if (!sample.overloaded && !sample.served) return;
-    double& slowShare = isWarmingUp(endpoint, now) ? slowShareWarmingUp_ : slowShareWarm_;
+    double& slowShare = isWarmingUp(endpoint.entry(), now) ? slowShareOfWarmingUp_ : slowShareOfWarm_;
     slowShare = movingAverage(slowShare, sample.overloaded ? 1 : 0, kSlowShareSmoothing);
 }
 
-void SlowStart::noteServed(const Endpoint& endpoint, double relativeWork, TimePoint now) {
+void SlowStart::recordServed(const Endpoint& endpoint, double work, TimePoint now) {
     servedAt_ = now;
-    if (endpoint.usable) servedWork_ += relativeWork;
+    if (endpoint.isUsable()) servedWork_ += work;
 }
 
-// Nothing is served and no endpoint is warm: then what is asked for has to tell, though it may be too much.
-void SlowStart::noteUnserved(double relativeWork, TimePoint now) {
-    if (now - servedAt_ > settings_.overloadWindow / kUnservedWindowPart)
-        servedWork_ += kUnservedCredit * relativeWork;
+// When every endpoint is warming up and none has answered recently, fall back to demand as an estimate of
+// capacity. It may overestimate.
+void SlowStart::recordUnserved(double work, TimePoint now) {
+    if (now - servedAt_ > settings_.overloadWindow / kUnservedWindowDivisor)
+        servedWork_ += kUnservedCreditShare * work;
 }
 
 }  // namespace gateway
--- a/src/decision/upstream/slow_start.h
+++ b/src/decision/upstream/slow_start.h
@@ -1,67 +1,67 @@
-// Slow start: the budget of an endpoint that is warming up.
+// Slow start: limits the attempts that an endpoint receives while it is warming up.
 //
-// What the endpoints serve is at most what they can, however much is asked for. So of each response an
-// endpoint that is warming up accrues its share here, and is sent an attempt when that has come up to one.
-// Each gateway starts with a part of an attempt that is spread evenly over the gateways by the endpoint's
-// name and start, so that their turns come one after the other and the sum of all keeps to what was accrued;
-// drawn by each alone it would add up to a Poisson spread.
+// What the endpoints serve never exceeds their capacity, however high the demand is. So the budget of an
+// endpoint that is warming up grows with the work that the fleet serves, in proportion to the endpoint's
+// share of the fleet's capacity. The endpoint receives an attempt when the budget covers one. Each gateway
+// starts with a fraction of an attempt that is spread evenly over the gateways by the endpoint's name and
+// start time. So the gateways take turns, and the sum of their attempts stays close to the sum of their
+// budgets; random fractions would add a Poisson spread.
 #pragma once
 
+#include "decision/upstream/attempt_sample.h"
 #include "decision/upstream/endpoint.h"
 #include "decision/upstream/endpoint_stats.h"
-#include "decision/upstream/latency_stats.h"
+#include "decision/upstream/fleet_capacity.h"
 #include "gateway/settings.h"
 
 namespace gateway {
 
-// The usable endpoints' weights, summed up.
-struct FleetCapacity {
-    double weight = 0;           // all weights
-    double effectiveWeight = 0;  // less for endpoints that are warming up
-    bool hasWarmEndpoint = false;
-};
-
+// Decides on the budgets, which the endpoints hold as SlowStartTokens. Invariants: the served work never
+// decreases; the shares of slow responses lie between 0 and 1.
 class SlowStart {
 public:
     // Both arguments must outlive the object.
     SlowStart(const Settings& settings, const EndpointStats& stats) : settings_(settings), stats_(stats) {}
 
-    // The share of its full capacity that an endpoint has, above 0 up to 1.
+    // Share of its full capacity that an endpoint has now, from the settings' initial share up to 1.
     double capacityShare(const EndpointEntry& entry, TimePoint now) const;
-    bool isWarmingUp(const Endpoint& endpoint, TimePoint now) const {
-        return capacityShare(endpoint.entry, now) < 1;
-    }
 
-    // The endpoint has just started.
-    void onStart(Endpoint& endpoint) const;
+    // Whether the endpoint has less than its full capacity.
+    bool isWarmingUp(const EndpointEntry& entry, TimePoint now) const {
+        return capacityShare(entry, now) < 1;
+    }
 
-    // Credits what the fleet has served since the endpoint's tokens last accrued.
-    void accrue(Endpoint& endpoint, double capacityShare, const FleetCapacity& fleet) const;
+    // Starts the budget of an endpoint that has just started.
+    void startTokens(Endpoint& endpoint) const;
 
-    // Whether the endpoint may be sent an attempt now; one that is not warming up always may.
-    bool mayReceive(Endpoint& endpoint, double capacityShare, const FleetCapacity& fleet) const;
+    // Credits the work that the fleet has served since the endpoint's previous accrual to its budget. Does
+    // nothing for a warm endpoint. `capacityShare` is that of the endpoint.
+    void accrueTokens(Endpoint& endpoint, double capacityShare, const FleetCapacity& fleet) const;
 
-    // An attempt of this work is sent to the endpoint.
-    static void spend(Endpoint& endpoint, double relativeWork) { endpoint.slowStart.tokens -= relativeWork; }
+    // Whether the endpoint may receive an attempt now. A warm endpoint always may. Precondition: its tokens
+    // have accrued up to now.
+    static bool mayReceiveAttempt(const Endpoint& endpoint, double capacityShare);
 
-    // Learns from an attempt that ended.
+    // Learns from an attempt at the endpoint that ended.
     void observe(const Endpoint& endpoint, const AttemptSample& sample, TimePoint now);
 
-    // An endpoint answered a request of this work with success.
-    void noteServed(const Endpoint& endpoint, double relativeWork, TimePoint now);
+    // The endpoint served a request. `work`: in requests of mean work.
+    void recordServed(const Endpoint& endpoint, double work, TimePoint now);
 
-    // No endpoint could take a request of this work, and none of them is warm.
-    void noteUnserved(double relativeWork, TimePoint now);
+    // No endpoint could receive a request of this work, and no warm endpoint is available.
+    void recordUnserved(double work, TimePoint now);
 
 private:
-    double budgetMultiple(const FleetCapacity& fleet) const;
+    double endpointCapacity(const Endpoint& endpoint, double capacityShare, const FleetCapacity& fleet) const;
+    double fleetCapacity(const FleetCapacity& fleet) const;
+    double budgetMultiplier(const FleetCapacity& fleet) const;
 
     const Settings& settings_;
     const EndpointStats& stats_;
-    double servedWork_ = 0;          // by usable endpoints, in requests of mean work
-    double slowShareWarm_ = 0;       // share of slow responses of warm endpoints
-    double slowShareWarmingUp_ = 0;  // and of those that are warming up
-    TimePoint servedAt_{};           // the latest success
+    double servedWork_ = 0;            // by usable endpoints, in requests of mean work
+    double slowShareOfWarm_ = 0;       // share of slow responses among those of warm endpoints
+    double slowShareOfWarmingUp_ = 0;  // and among those of endpoints that are warming up
+    TimePoint servedAt_{};             // time of the latest success
 };
 
 }  // namespace gateway
--- /dev/null
+++ b/src/decision/upstream/slow_start_tokens.cpp
@@ -0,0 +1,23 @@
+#include "decision/upstream/slow_start_tokens.h"
+
+#include <algorithm>
+
+namespace gateway {
+namespace {
+
+constexpr double kMaxTokens = 1.5;  // that each gateway may save for one endpoint
+
+}  // namespace
+
+void SlowStartTokens::start(double tokens, double servedWork) {
+    tokens_ = tokens;
+    accruedAt_ = servedWork;
+}
+
+void SlowStartTokens::accrue(double servedWork, double endpointCapacity, double fleetCapacity) {
+    const double served = servedWork - accruedAt_;
+    accruedAt_ = servedWork;
+    tokens_ = std::min(kMaxTokens, tokens_ + endpointCapacity * served / fleetCapacity);
+}
+
+}  // namespace gateway
--- a/tests/decision/upstream/concurrency_limiter_test.cpp
+++ b/tests/decision/upstream/concurrency_limiter_test.cpp
@@ -1,4 +1,3 @@
-// The limits on attempts in flight, alone.
 #include "decision/upstream/concurrency_limiter.h"
 
 #include <gtest/gtest.h>
@@ -8,74 +7,103 @@
 namespace gateway {
 namespace {
 
-AttemptSample served(double objectiveShare) {
-    AttemptSample sample;
-    sample.objectiveShare = objectiveShare;
-    sample.classSeconds = 0.1;
-    sample.served = true;
-    sample.slow = objectiveShare > kSlowObjectiveShare;
-    sample.overloaded = sample.slow;
-    return sample;
-}
+class ConcurrencyLimiterTest : public testing::Test {
+protected:
+    static constexpr std::size_t kEndpoints = 4;
+    static constexpr double kFastObjectiveShare = 0.1;
+    static constexpr double kSlowResponseObjectiveShare = 0.9;
 
-// Attempts that may be in flight at once.
-int capacityOf(ConcurrencyLimiter& limiter) {
-    RandomSource random(1);
-    Endpoint endpoint;
-    int begun = 0;
-    while (begun < 1000 && limiter.hasCapacity(random)) {
-        limiter.begin(endpoint);
-        ++begun;
+    ConcurrencyLimiterTest() : limiter_(plainSettings()) {}  // two gateways, 16 attempts at an endpoint
+
+    static AttemptSample servedSample(double objectiveShare) {
+        AttemptSample sample;
+        sample.objectiveShare = objectiveShare;
+        sample.served = true;
+        sample.slow = objectiveShare > kSlowObjectiveShare;
+        sample.overloaded = sample.slow;
+        return sample;
+    }
+
+    static AttemptSample timedOutSample() {
+        AttemptSample sample;
+        sample.objectiveShare = 4;
+        sample.timedOut = true;
+        sample.slow = true;
+        sample.overloaded = true;
+        return sample;
+    }
+
+    void observeServed(double objectiveShare, int times) {
+        for (int i = 0; i < times; ++i) limiter_.observe(servedSample(objectiveShare), Outcome::ok);
+    }
+
+    void beginAttempts(int count) {
+        for (int i = 0; i < count; ++i) limiter_.beginAttempt();
     }
-    for (int i = 0; i < begun; ++i) limiter.end(endpoint);
-    return begun;
+
+    void endAttempts(int count) {
+        for (int i = 0; i < count; ++i) limiter_.endAttempt();
+    }
+
+    // Attempts that may be in flight at once.
+    int measureCapacity() {
+        constexpr int kMaxMeasured = 1000;
+        RandomSource random(1);
+        int begun = 0;
+        while (begun < kMaxMeasured && limiter_.hasCapacity(random)) {
+            limiter_.beginAttempt();
+            ++begun;
+        }
+        endAttempts(begun);
+        return begun;
+    }
+
+    ConcurrencyLimiter limiter_;
+};
+
+TEST_F(ConcurrencyLimiterTest, AdmitsNothingBeforeTheEndpointListIsKnown) {
+    EXPECT_EQ(measureCapacity(), 0);
 }
 
-TEST(ConcurrencyLimiter, StartsWithItsShareOfTheEndpointsAndKeepsWhatItLearned) {
-    ConcurrencyLimiter limiter(plainSettings());  // two gateways, 16 attempts an endpoint
-    limiter.onEndpointSet(4);
-    EXPECT_NEAR(capacityOf(limiter), 32, 1);
-    limiter.onEndpointSet(400);
-    EXPECT_NEAR(capacityOf(limiter), 32, 1);
+TEST_F(ConcurrencyLimiterTest, StartsWithItsShareOfTheEndpointsAndKeepsTheLimitOnLaterLists) {
+    limiter_.initializeLimit(kEndpoints);
+    EXPECT_NEAR(measureCapacity(), 32, 1);
+    limiter_.initializeLimit(100 * kEndpoints);
+    EXPECT_NEAR(measureCapacity(), 32, 1);
 }
 
-TEST(ConcurrencyLimiter, SlowResponsesLowerItAndQuickOnesRaiseItWhereItIsUsed) {
-    ConcurrencyLimiter limiter(plainSettings());
-    limiter.onEndpointSet(4);
-    for (int i = 0; i < 20; ++i) limiter.observe(served(0.9), Outcome::ok);
-    const int lowered = capacityOf(limiter);
+TEST_F(ConcurrencyLimiterTest, LowersLimitOnSlowResponsesAndRaisesItOnFastOnesOnlyWhileItIsUsed) {
+    limiter_.initializeLimit(kEndpoints);
+    observeServed(kSlowResponseObjectiveShare, 20);
+    const int lowered = measureCapacity();
     EXPECT_NEAR(lowered, 12, 1);
-    for (int i = 0; i < 90; ++i) limiter.observe(served(0.1), Outcome::ok);
-    EXPECT_EQ(capacityOf(limiter), lowered);  // nothing was in flight
-    Endpoint endpoint;
-    for (int i = 0; i < lowered; ++i) limiter.begin(endpoint);
-    for (int i = 0; i < 90; ++i) limiter.observe(served(0.1), Outcome::ok);
-    for (int i = 0; i < lowered; ++i) limiter.end(endpoint);
-    EXPECT_GT(capacityOf(limiter), lowered);
+    observeServed(kFastObjectiveShare, 90);
+    EXPECT_EQ(measureCapacity(), lowered);  // nothing was in flight
+    beginAttempts(lowered);
+    observeServed(kFastObjectiveShare, 90);
+    endAttempts(lowered);
+    EXPECT_GT(measureCapacity(), lowered);
 }
 
-TEST(ConcurrencyLimiter, TimeOutsAmongQuickResponsesAreTheirEndpointsOwn) {
-    ConcurrencyLimiter limiter(plainSettings());
-    limiter.onEndpointSet(4);
-    AttemptSample timedOut;
-    timedOut.objectiveShare = 4;
-    timedOut.timedOut = timedOut.slow = timedOut.overloaded = true;
-    for (int i = 0; i < 100; ++i)
-        limiter.observe(i % 10 == 0 ? timedOut : served(0.1), i % 10 == 0 ? Outcome::timedOut : Outcome::ok);
-    EXPECT_NEAR(capacityOf(limiter), 32, 1);
+TEST_F(ConcurrencyLimiterTest, IgnoresTimeoutsWhileTheMedianResponseIsFast) {
+    limiter_.initializeLimit(kEndpoints);
+    for (int i = 0; i < 100; ++i) {
+        if (i % 10 == 0)
+            limiter_.observe(timedOutSample(), Outcome::timedOut);
+        else
+            limiter_.observe(servedSample(kFastObjectiveShare), Outcome::ok);
+    }
+    EXPECT_NEAR(measureCapacity(), 32, 1);
 }
 
-TEST(ConcurrencyLimiter, AnEndpointsOwnLimitFallsOnceInAResponseTime) {
-    Endpoint endpoint;
-    endpoint.limit.maxInFlight = 10;
-    const TimePoint now{std::chrono::seconds(100)};
-    ConcurrencyLimiter::observe(endpoint, served(0.9), now);
-    ConcurrencyLimiter::observe(endpoint, served(0.9), now + milliseconds(50));
-    EXPECT_EQ(endpoint.limit.maxInFlight, 8);
-    ConcurrencyLimiter::observe(endpoint, served(0.9), now + milliseconds(150));
-    EXPECT_DOUBLE_EQ(endpoint.limit.maxInFlight, 6.4);
-    endpoint.inFlight = 6;
-    EXPECT_FALSE(ConcurrencyLimiter::hasCapacity(endpoint));
+TEST_F(ConcurrencyLimiterTest, KeepsTheLimitAboveZeroUnderLastingOverload) {
+    limiter_.initializeLimit(kEndpoints);
+    observeServed(kSlowResponseObjectiveShare, 1000);
+    RandomSource random(1);
+    int admitted = 0;
+    for (int i = 0; i < 1000; ++i)
+        if (limiter_.hasCapacity(random)) ++admitted;
+    EXPECT_NEAR(admitted, 100, 30);  // the min limit of 0.1 is met by random draws
 }
 
 }  // namespace
--- a/tests/decision/upstream/outlier_detector_test.cpp
+++ b/tests/decision/upstream/outlier_detector_test.cpp
@@ -1,4 +1,3 @@
-// Outlier ejection, alone.
 #include "decision/upstream/outlier_detector.h"
 
 #include <gtest/gtest.h>
@@ -10,58 +9,84 @@
 
 using std::chrono::seconds;
 
-constexpr TimePoint kNow{seconds(100)};
+class OutlierDetectorTest : public testing::Test {
+protected:
+    static constexpr TimePoint kNow{seconds(100)};
 
-void fail(Endpoint& endpoint, int times, TimePoint now = kNow) {
-    for (int i = 0; i < times; ++i) OutlierDetector::observe(endpoint.health, Outcome::error, now);
-}
+    void observeErrors(int count) {
+        for (int i = 0; i < count; ++i) detector_.observe(Outcome::error, kNow);
+    }
+
+    OutlierDetector detector_;
+};
 
-TEST(OutlierDetector, AFewErrorsAreForgiven) {
-    Endpoint endpoint;
-    fail(endpoint, 2);
-    EXPECT_FALSE(OutlierDetector::isEjected(endpoint, kNow));
-    fail(endpoint, 1);  // 1 - 0.85^3 is past 0.3
-    EXPECT_TRUE(OutlierDetector::isEjected(endpoint, kNow));
+TEST_F(OutlierDetectorTest, EjectsEndpointAfterConsecutiveErrors) {
+    observeErrors(2);
+    EXPECT_FALSE(detector_.isEjected(false, kNow));
+    observeErrors(1);  // 1 - 0.85^3 is past 0.3
+    EXPECT_TRUE(detector_.isEjected(false, kNow));
 }
 
-TEST(OutlierDetector, OneThatCannotBeConnectedToIsEjectedAtOnce) {
-    Endpoint endpoint;
-    OutlierDetector::observe(endpoint.health, Outcome::connectFailed, kNow);
-    EXPECT_TRUE(OutlierDetector::isEjected(endpoint, kNow));
+TEST_F(OutlierDetectorTest, EjectsUnreachableEndpointAtOnce) {
+    detector_.observe(Outcome::connectFailed, kNow);
+    EXPECT_TRUE(detector_.isEjected(false, kNow));
 }
 
-TEST(OutlierDetector, TimeOutsAndCancelledAttemptsEjectNobody) {
-    Endpoint endpoint;
+TEST_F(OutlierDetectorTest, IgnoresTimeoutsAndAttemptsThatTheGatewayGaveUp) {
     for (int i = 0; i < 50; ++i)
         for (const Outcome outcome : {Outcome::timedOut, Outcome::cancelled, Outcome::notSent})
-            OutlierDetector::observe(endpoint.health, outcome, kNow);
-    EXPECT_FALSE(OutlierDetector::isEjected(endpoint, kNow));
+            detector_.observe(outcome, kNow);
+    EXPECT_FALSE(detector_.isEjected(false, kNow));
 }
 
-TEST(OutlierDetector, OnProbationItTakesOneAttemptAtATime) {
-    Endpoint endpoint;
-    fail(endpoint, 3);
-    const TimePoint back = kNow + seconds(1);
-    EXPECT_FALSE(OutlierDetector::isEjected(endpoint, back));
-    endpoint.inFlight = 1;
-    EXPECT_TRUE(OutlierDetector::isEjected(endpoint, back));
-    OutlierDetector::observe(endpoint.health, Outcome::ok, back);
-    EXPECT_FALSE(OutlierDetector::isEjected(endpoint, back));
+TEST_F(OutlierDetectorTest, AdmitsOneAttemptAtATimeOnProbation) {
+    observeErrors(3);
+    const TimePoint ejectionEnd = kNow + seconds(1);
+    EXPECT_FALSE(detector_.isEjected(false, ejectionEnd));
+    EXPECT_TRUE(detector_.isEjected(true, ejectionEnd));
+    detector_.observe(Outcome::ok, ejectionEnd);
+    EXPECT_FALSE(detector_.isEjected(true, ejectionEnd));
 }
 
-TEST(OutlierDetector, EachEjectionInARowIsTwiceAsLongUpToABound) {
-    Endpoint endpoint;
+TEST_F(OutlierDetectorTest, DoublesConsecutiveEjectionsUpToTheMaximum) {
     TimePoint now = kNow;
     for (const int length : {1, 2, 4, 8, 8}) {
-        OutlierDetector::observe(endpoint.health, Outcome::connectFailed, now);
-        EXPECT_EQ(endpoint.health.ejectedUntil - now, seconds(length));
-        now = endpoint.health.ejectedUntil;
+        detector_.observe(Outcome::connectFailed, now);
+        EXPECT_EQ(detector_.ejectedUntil() - now, seconds(length));
+        now = detector_.ejectedUntil();
+    }
+}
+
+TEST_F(OutlierDetectorTest, IgnoresEjectionsOfMoreThanHalfOfTheEndpoints) {
+    EXPECT_TRUE(OutlierDetector::isEjectionAllowed(2, 4));
+    EXPECT_FALSE(OutlierDetector::isEjectionAllowed(3, 4));
+}
+
+TEST_F(OutlierDetectorTest, FailuresDuringAnEjectionDoNotExtendIt) {
+    detector_.observe(Outcome::connectFailed, kNow);
+    const TimePoint ejectionEnd = detector_.ejectedUntil();
+    for (int i = 0; i < 10; ++i) detector_.observe(Outcome::error, kNow + std::chrono::milliseconds(i));
+    EXPECT_EQ(detector_.ejectedUntil(), ejectionEnd);
+}
+
+TEST_F(OutlierDetectorTest, KeepsTheErrorRateBetweenZeroAndOne) {
+    for (int i = 0; i < 1000; ++i) {
+        detector_.observe(Outcome::error, kNow + seconds(i));
+        EXPECT_LE(detector_.errorRate(), 1);
+    }
+    for (int i = 0; i < 1000; ++i) {
+        detector_.observe(Outcome::ok, kNow + seconds(1000 + i));
+        EXPECT_GE(detector_.errorRate(), 0);
     }
 }
 
-TEST(OutlierDetector, EjectionsOfMoreThanHalfAreNotHeeded) {
-    EXPECT_TRUE(OutlierDetector::isEjectionHeeded(2, 4));
-    EXPECT_FALSE(OutlierDetector::isEjectionHeeded(3, 4));
+TEST_F(OutlierDetectorTest, LastingSuccessEndsTheSeriesOfEjections) {
+    detector_.observe(Outcome::connectFailed, kNow);
+    const TimePoint later = detector_.ejectedUntil() + seconds(1);
+    for (int i = 0; i < 20; ++i) detector_.observe(Outcome::ok, later);
+    EXPECT_FALSE(detector_.isOnProbation());
+    detector_.observe(Outcome::connectFailed, later);
+    EXPECT_EQ(detector_.ejectedUntil() - later, seconds(1));
 }
 
 }  // namespace
--- a/tests/decision/upstream/retry_policy_test.cpp
+++ b/tests/decision/upstream/retry_policy_test.cpp
@@ -1,8 +1,10 @@
-// When a request may be sent once more, alone.
 #include "decision/upstream/retry_policy.h"
 
 #include <gtest/gtest.h>
 
+#include <chrono>
+#include <ostream>
+
 #include "support/engine_fixture.h"
 
 namespace gateway {
@@ -11,20 +13,24 @@
 using std::chrono::seconds;
 
 constexpr TimePoint kNow{seconds(100)};
+constexpr Duration kIdempotencyWindow = seconds(5);
 
 struct RetryCase {
     const char* name;
     Idempotency idempotency;
     DeduplicationScope scope;
     bool mayHaveRun;
-    Duration sinceRun;  // the idempotency window is 5 s
-    bool isRetried;     // by a further attempt
-    bool isHarmless;    // for the client to repeat
+    Duration sinceRun;  // time since the attempt that may have run was sent
+    bool canRetry;      // by this gateway
+    bool isClientRetrySafe;
 };
 
-class RetryPolicyCases : public testing::TestWithParam<RetryCase> {};
+void PrintTo(const RetryCase& row, std::ostream* out) {  // NOLINT(readability-identifier-naming): GoogleTest
+    *out << row.name;
+}
 
-Request requestOf(const RetryCase& row) {
+// A request whose only attempt has failed.
+Request makeRequest(const RetryCase& row) {
     Request request;
     request.arrivedAt = kNow;
     request.arrival.deadline = kNow + seconds(2);
@@ -33,62 +39,87 @@
     return request;
 }
 
-Settings settingsOf(const RetryCase& row) {
+Settings makeSettings(const RetryCase& row) {
     Settings settings = plainSettings();
     settings.classes[0].idempotency = row.idempotency;
     settings.classes[0].deduplicationScope = row.scope;
-    settings.classes[0].idempotencyWindow = seconds(5);
+    settings.classes[0].idempotencyWindow = kIdempotencyWindow;
     return settings;
 }
 
-TEST_P(RetryPolicyCases, FollowTheClassAndWhatMayHaveRun) {
-    const Settings settings = settingsOf(GetParam());
-    const LatencyStats latency(settings);
-    RetryPolicy policy(settings, latency);
-    const Request request = requestOf(GetParam());
-    EXPECT_EQ(policy.takeRetry(request, kNow), GetParam().isRetried);
-    EXPECT_EQ(policy.isRepeatHarmless(request, kNow), GetParam().isHarmless);
+class RetryPolicyClassTest : public testing::TestWithParam<RetryCase> {
+protected:
+    Settings settings_ = makeSettings(GetParam());
+    LatencyStats latency_{settings_};
+    RetryPolicy policy_{settings_, latency_};
+};
+
+TEST_P(RetryPolicyClassTest, FollowsIdempotencyOfTheClassAndWhetherTheRequestMayHaveRun) {
+    const Request request = makeRequest(GetParam());
+    EXPECT_EQ(policy_.tryAcquireRetry(request, kNow), GetParam().canRetry);
+    EXPECT_EQ(policy_.isClientRetrySafe(request, kNow), GetParam().isClientRetrySafe);
 }
 
 constexpr auto kAll = DeduplicationScope::all;
 constexpr auto kCell = DeduplicationScope::cell;
 INSTANTIATE_TEST_SUITE_P(
-    Classes, RetryPolicyCases,
+    Classes, RetryPolicyClassTest,
     testing::Values(RetryCase{"Safe", Idempotency::safe, kAll, true, seconds(9), true, true},
                     RetryCase{"NeverRan", Idempotency::none, kAll, false, {}, true, true},
                     RetryCase{"MayHaveRun", Idempotency::none, kAll, true, {}, false, false},
                     RetryCase{"KeyWithinWindow", Idempotency::withKey, kAll, true, seconds(4), true, true},
                     RetryCase{"KeyPastWindow", Idempotency::withKey, kAll, true, seconds(5), false, false},
-                    RetryCase{"KeyInItsCell", Idempotency::withKey, kCell, true, seconds(4), true, false}),
+                    RetryCase{"KeyInOneCell", Idempotency::withKey, kCell, true, seconds(4), true, false}),
     [](const auto& row) { return row.param.name; });
 
-TEST(RetryPolicy, FurtherAttemptsAreBoundedToAShareOfFirstOnes) {
-    const RetryCase row{"", Idempotency::safe, kAll, false, {}, true, true};
-    const Settings settings = settingsOf(row);
-    const LatencyStats latency(settings);
-    RetryPolicy policy(settings, latency);
-    const Request request = requestOf(row);
-    for (int i = 0; i < 10; ++i) EXPECT_TRUE(policy.takeRetry(request, kNow));
-    EXPECT_FALSE(policy.takeRetry(request, kNow));
-    for (int i = 0; i < 6; ++i) policy.onFirstAttempt();
-    EXPECT_TRUE(policy.takeRetry(request, kNow));
-    EXPECT_FALSE(policy.takeRetry(request, kNow));
+class RetryPolicyTest : public testing::Test {
+protected:
+    static constexpr RetryCase kSafe{"Safe", Idempotency::safe, kAll, false, {}, true, true};
+
+    Settings settings_ = makeSettings(kSafe);
+    LatencyStats latency_{settings_};
+    RetryPolicy policy_{settings_, latency_};
+};
+
+TEST_F(RetryPolicyTest, BoundsRetriesToAShareOfFirstAttempts) {
+    const Request request = makeRequest(kSafe);
+    for (int i = 0; i < 10; ++i) EXPECT_TRUE(policy_.tryAcquireRetry(request, kNow));
+    EXPECT_FALSE(policy_.tryAcquireRetry(request, kNow));
+    for (int i = 0; i < 6; ++i) policy_.recordFirstAttempt();
+    EXPECT_TRUE(policy_.tryAcquireRetry(request, kNow));
+    EXPECT_FALSE(policy_.tryAcquireRetry(request, kNow));
+}
+
+TEST_F(RetryPolicyTest, SavesNoMoreThanTheMaxBudget) {
+    const Request request = makeRequest(kSafe);
+    for (int i = 0; i < 1000; ++i) policy_.recordFirstAttempt();
+    for (int i = 0; i < 10; ++i) EXPECT_TRUE(policy_.tryAcquireRetry(request, kNow));
+    EXPECT_FALSE(policy_.tryAcquireRetry(request, kNow));
+}
+
+TEST_F(RetryPolicyTest, RejectsRetryWithoutEnoughTime) {
+    Request request = makeRequest(kSafe);
+    request.arrival.deadline = kNow + std::chrono::milliseconds(50);  // 75 ms are expected
+    EXPECT_FALSE(policy_.tryAcquireRetry(request, kNow));
+}
+
+TEST_F(RetryPolicyTest, RejectsRetryWhileAnAttemptIsInFlight) {
+    Request request = makeRequest(kSafe);
+    request.attempts.push_back({1, kNow, false});
+    EXPECT_FALSE(policy_.tryAcquireRetry(request, kNow));
+}
+
+TEST_F(RetryPolicyTest, RejectsRetryPastTheMaxAttempts) {
+    Request request = makeRequest(kSafe);
+    request.attempts.resize(static_cast<std::size_t>(settings_.maxAttempts), {0, kNow, true});
+    EXPECT_FALSE(policy_.tryAcquireRetry(request, kNow));
 }
 
-TEST(RetryPolicy, NoneWhereTimeAttemptsOrOrderForbidIt) {
-    const RetryCase row{"", Idempotency::safe, kAll, false, {}, true, true};
-    const Settings settings = settingsOf(row);
-    const LatencyStats latency(settings);
-    RetryPolicy policy(settings, latency);
-    Request late = requestOf(row);
-    late.arrival.deadline = kNow + std::chrono::milliseconds(50);  // 75 ms are expected
-    EXPECT_FALSE(policy.takeRetry(late, kNow));
-    Request running = requestOf(row);
-    running.attempts.push_back({1, kNow, false});
-    EXPECT_FALSE(policy.takeRetry(running, kNow));
-    Request often = requestOf(row);
-    often.attempts.resize(static_cast<std::size_t>(settings.maxAttempts), {0, kNow, true});
-    EXPECT_FALSE(policy.takeRetry(often, kNow));
+TEST_F(RetryPolicyTest, RejectedRetrySpendsNothing) {
+    Request inFlight = makeRequest(kSafe);
+    inFlight.attempts.push_back({1, kNow, false});
+    for (int i = 0; i < 100; ++i) EXPECT_FALSE(policy_.tryAcquireRetry(inFlight, kNow));
+    EXPECT_TRUE(policy_.tryAcquireRetry(makeRequest(kSafe), kNow));
 }
 
 }  // namespace
