--- a/src/decision/engine/attempt_dispatcher.cpp
+++ b/src/decision/engine/attempt_dispatcher.cpp
@@ -2,7 +2,6 @@
 
 #include <optional>
 
-#include "decision/upstream/outlier_detector.h"
 
 namespace gateway {
 
@@ -26,12 +25,12 @@
     if (!slot) return false;
 
     Endpoint& endpoint = endpoints_.at(*slot);
-    if (request.attempts.empty()) retries_.onFirstAttempt();
+    if (request.attempts.empty()) retries_.recordFirstAttempt();
     request.attempts.push_back({*slot, context.now, false});
-    limiter_.begin(endpoint);
-    SlowStart::spend(endpoint, work);
+    limiter_.beginAttempt();
+    endpoint.beginAttempt(work);
     const Duration beginWithin = retries_.beginWithin(request, context.now);
-    context.act(SendAttempt{request.arrival.request, endpoint.entry.endpoint, timeout, beginWithin});
+    context.act(SendAttempt{request.arrival.request, endpoint.entry().endpoint, timeout, beginWithin});
     return true;
 }
 
@@ -39,24 +38,22 @@
     Attempt& attempt = request.attempts[static_cast<std::size_t>(ended.attempt)];
     attempt.ended = true;
     Endpoint& endpoint = endpoints_.at(attempt.endpointSlot);
-    limiter_.end(endpoint);
+    limiter_.endAttempt();
+    endpoint.endAttempt();
     observe(request, ended, endpoint, now);
     if (!provesNeverRan(ended.outcome) && !request.possibleRun)
-        request.possibleRun = PossibleRun{endpoint.entry.zone, endpoint.entry.cell, attempt.sentAt};
+        request.possibleRun = PossibleRun{endpoint.entry().zone, endpoint.entry().cell, attempt.sentAt};
 }
 
 void AttemptDispatcher::observe(const Request& request, const AttemptEnded& ended, Endpoint& endpoint,
                                 TimePoint now) {
-    stats_.observe(endpoint, ended, endpoints_.listed(), now);
     const AttemptSample sample = latency_.observe(request, ended);
-    EndpointStats::observeLatency(endpoint, sample);
+    endpoint.observeAttempt(ended, sample, now);
+    stats_.observe(endpoint.load(), endpoints_.listedCount(), now);
     limiter_.observe(sample, ended.outcome);
     slowStart_.observe(endpoint, sample, now);
-    ConcurrencyLimiter::observe(endpoint, sample, now);
-    endpoint.load.observedAt = now;
     if (ended.outcome == Outcome::ok)
-        slowStart_.noteServed(endpoint, latency_.relativeWork(request.arrival.requestClass), now);
-    OutlierDetector::observe(endpoint.health, ended.outcome, now);
+        slowStart_.recordServed(endpoint, latency_.relativeWork(request.arrival.requestClass), now);
 }
 
 }  // namespace gateway
--- a/src/decision/engine/request_lifecycle.cpp
+++ b/src/decision/engine/request_lifecycle.cpp
@@ -122,7 +122,7 @@
     settleCost(context, *request, ended, tenant);
     if (ended.closed) request->closed = true;
 
-    if (!request->closed && retries_.takeRetry(*request, context.now)) {
+    if (!request->closed && retries_.tryAcquireRetry(*request, context.now)) {
         forward(context, *request);
         return;
     }
@@ -152,7 +152,7 @@
 // ---- The end --------------------------------------------------------------------------------------
 
 void RequestLifecycle::answerUnserved(EventContext& context, Request& request, Duration retryAfter) {
-    if (retries_.isRepeatHarmless(request, context.now)) {
+    if (retries_.isClientRetrySafe(request, context.now)) {
         const Duration advice =
             settings_.retryAfterAllowed ? std::min(retryAfter, settings_.maxRetryAfter) : Duration{};
         context.act(RejectRequest{request.arrival.request, advice});
