--- /dev/null
+++ b/src/net/server/component_options.h
@@ -0,0 +1,23 @@
+// Derives the options of each network component from the process's configuration.
+#pragma once
+
+#include "net/client/client_server.h"
+#include "net/config/config.h"
+#include "net/counter/counter_client.h"
+#include "net/discovery/discovery_client.h"
+#include "net/server/readiness.h"
+#include "net/upstream/upstream_pool.h"
+
+namespace gateway::net {
+
+// Clients may use half of the descriptors and connections to endpoints 40%. The rest is for the counter,
+// discovery, the listener and the event loop.
+ClientServer::Limits clientServerLimits(const Config& config);
+UpstreamPool::Limits upstreamPoolLimits(const Config& config, ReclaimDescriptor reclaimDescriptor);
+
+CounterClient::Limits counterClientLimits(const Config& config, ReclaimDescriptor reclaimDescriptor);
+DiscoveryClient::Options discoveryClientOptions(const Config& config, ReclaimDescriptor reclaimDescriptor);
+RequestRules requestRules(const Config& config);
+Readiness::Limits readinessLimits(const Config& config);
+
+}  // namespace gateway::net
--- /dev/null
+++ b/src/net/server/event_loop_dispatcher.cpp
@@ -0,0 +1,32 @@
+#include "net/server/event_loop_dispatcher.h"
+
+#include <exception>
+#include <utility>
+
+#include "net/transport/log.h"
+
+namespace gateway::net {
+
+EventLoopDispatcher::EventLoopDispatcher(Handlers handlers) : handlers_(std::move(handlers)) {}
+
+void EventLoopDispatcher::dispatch(Event event) {
+    events_.push_back(std::move(event));
+    if (isDispatching_) return;
+    isDispatching_ = true;
+    while (!events_.empty()) handleNextEvent();
+    isDispatching_ = false;
+    handlers_.onQueueEmpty();
+}
+
+void EventLoopDispatcher::handleNextEvent() {
+    actions_.clear();
+    try {
+        handlers_.handleEvent(events_.front(), actions_);
+    } catch (const std::exception& e) {  // costs this event, not the process and its other requests
+        log(LogLevel::error, "decision engine", e.what());
+    }
+    events_.pop_front();
+    for (const Action& action : actions_) handlers_.executeAction(action);
+}
+
+}  // namespace gateway::net
--- a/src/net/server/gateway_server.h
+++ b/src/net/server/gateway_server.h
@@ -1,70 +1,68 @@
-// Owns the decision engine and the network parts: hands the engine events, and executes its actions. Decides
-// nothing.
+// Wires the decision engine to the network: network events go to the engine, and its actions to the network
+// components. Makes no decisions.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
 #include <cstddef>
-#include <deque>
 #include <functional>
 #include <memory>
 #include <optional>
-#include <unordered_map>
-#include <vector>
 
 #include "gateway/decision_engine.h"
 #include "net/client/client_server.h"
 #include "net/config/config.h"
 #include "net/counter/counter_client.h"
 #include "net/discovery/discovery_client.h"
+#include "net/server/event_loop_dispatcher.h"
+#include "net/server/graceful_shutdown.h"
+#include "net/server/readiness.h"
+#include "net/server/request_registry.h"
 #include "net/transport/clock.h"
 #include "net/transport/timer_queue.h"
 #include "net/upstream/upstream_pool.h"
 
 namespace gateway::net {
 
+// One gateway: its clients, endpoints, counter service and discovery. All functions must be called from the
+// thread that runs the event loop.
 class GatewayServer {
 public:
-    // `io` and `config` must outlive the server. Throws SettingsError where the settings can't be served.
+    // `io` and `config` must outlive the server, and the server every handler that `io` runs. Throws
+    // SettingsError if the settings can't be served.
     GatewayServer(boost::asio::io_context& io, const Config& config);
+    GatewayServer(const GatewayServer&) = delete;
+    GatewayServer& operator=(const GatewayServer&) = delete;
+    ~GatewayServer() = default;
 
-    // Begins to listen. Throws boost::system::system_error where the address can't be had.
+    // Starts discovery and listens for clients. Must be called once only. Throws boost::system::system_error
+    // if the address can't be listened on.
     void start();
 
-    // Sees to it that a file can be opened now, if need be at the cost of an idle connection.
+    // Makes sure that one descriptor is free, as for opening a file. Closes an idle connection if there is
+    // none.
     void ensureDescriptor();
 
-    // Goes over to the discovery and the counter that `config` names; all else stays.
+    // Moves to the addresses of discovery and of the counter in `config`. All else keeps the configuration
+    // that the server was constructed with.
     void reload(const Config& config);
 
-    // Answers what is taken, lets what is pending for the counter go out, then reports; nothing new is begun
-    // after that.
-    void drain(std::function<void()> done);
+    // Shuts down gracefully and calls `onComplete` at the end: see GracefulShutdown. Must be called once
+    // only.
+    void drain(std::function<void()> onComplete);
 
+    // The address that clients connect to. Precondition: start() has returned.
     tcp::endpoint address() const { return clients_.address(); }
 
 private:
-    using Moment = std::chrono::steady_clock::time_point;
-
-    struct Request {
-        std::shared_ptr<const ForwardedRequest> forwarded;
-        std::shared_ptr<ClientSession> client;  // null once it was answered or has disconnected
-        std::vector<AttemptId> attempts;
-        std::size_t inFlight = 0;  // of them
-    };
-    struct Attempt {
-        RequestId request;
-        EndpointId endpoint;
-        int number = 0;  // in its request, from 0
-    };
-
-    bool onRequest(ClientRequest&& request, const std::shared_ptr<ClientSession>& client);
-    void onDisconnect(const RequestId& id);
-    void onEndpointList(const EndpointList& list, UpdateKind kind);
-    void onAttemptEnded(AttemptId id, AttemptResult&& result);
-    bool isAttemptWanted(AttemptId id);
+    EventLoopDispatcher::Handlers dispatcherHandlers();
+    UpstreamPool::Hooks upstreamHooks();
+    ClientServer::Hooks clientHooks();
+    GracefulShutdown::Hooks shutdownHooks();
 
-    void dispatch(Event event);
-    void handleQueuedEvents();
+    void handleEndpointList(const EndpointList& list, UpdateKind kind);
+    bool handleRequest(ClientRequest&& request, const std::shared_ptr<ClientSession>& client);
+    void handleDisconnect(const RequestId& id);
+    void handleAttemptEnded(AttemptId id, AttemptResult&& result);
 
     void execute(const SendAttempt& action);
     void execute(const CancelAttempt& action);
@@ -72,37 +70,28 @@
     void execute(const FailRequest& action);
     void execute(const AddToCounter& action);
     void execute(const SetTimer& action);
-    void execute(const WatchEndpoints&) {}  // the watch is always on
+    void execute(const WatchEndpoints&) {}  // discovery is watched from start() on
 
-    bool hasClient(const RequestId& id);
+    void disconnectIfClientClosed(const RequestId& id);
+    bool hasWaitingClient(const RequestId& id) const { return requests_.client(id) != nullptr; }
     void answer(const RequestId& id, const ClientResponse& response);
-    void forgetIfDone(const RequestId& id);
     bool reclaimDescriptor();
-    void stopWhenReconciled(Moment deadline, std::function<void()> done);
-
-    UpstreamPool::Hooks upstreamHooks();
-    ClientServer::Hooks clientHooks();
-    DiscoveryClient::Options discoveryOptions();
-    CounterClient::Limits counterLimits();
+    bool isReconciled() const;
 
     boost::asio::io_context& io_;
     const Config& config_;
     Clock clock_;
     TimerQueue timers_;
     DecisionEngine engine_;
+    RequestRegistry requests_;
+    EventLoopDispatcher dispatcher_;
+    Readiness readiness_;
     UpstreamPool upstreams_;
-    std::optional<CounterClient> counter_;
+    std::optional<CounterClient> counter_;  // absent where the configuration names no counter
     ClientServer clients_;
     DiscoveryClient discovery_;
-    std::unordered_map<RequestId, Request> requests_;
-    std::unordered_map<AttemptId, Attempt> attempts_;
-    std::uint64_t lastAttempt_ = 0;
-    std::deque<Event> events_;
-    Actions actions_;
-    std::size_t timersInFlight_ = 0;  // set by the engine, and not fired yet
-    bool handling_ = false;
-    bool hasList_ = false;
-    bool isListCurrent_ = false;  // discovery has reported what it has, or was waited for long enough
+    GracefulShutdown shutdown_;
+    std::size_t engineTimersInFlight_ = 0;  // set by the engine and not fired yet
 };
 
 }  // namespace gateway::net
--- a/src/net/transport/clock.h
+++ b/src/net/transport/clock.h
@@ -7,6 +7,9 @@
 
 namespace gateway::net {
 
+// A point in time on this process's monotonic clock, for time limits and ages.
+using SteadyTimePoint = std::chrono::steady_clock::time_point;
+
 // Guards against steps of the system's clock in mid-life; the epoch is the one that all gateways share,
 // since the names of slices on the counter and the endpoints' starts are counted in it.
 class Clock {
--- a/src/net/upstream/attempt.h
+++ b/src/net/upstream/attempt.h
@@ -1,6 +1,7 @@
-// What of a request goes to an endpoint, and what becomes of it there.
+// What endpoints receive of a request, and the result of one attempt to have it served.
 #pragma once
 
+#include <cstdint>
 #include <memory>
 #include <optional>
 #include <string>
@@ -9,27 +10,31 @@
 
 namespace gateway::net {
 
-// Forwarded as the client sent it.
+// Identifies an attempt among those of all requests. Ids are never reused.
+enum class AttemptId : std::uint64_t { none = 0 };
+
+// The parts of a client's request that are forwarded, as the client sent them.
 struct ForwardedRequest {
     std::string method;
     std::string target;
     std::string host;
     std::string id;
-    std::string idempotencyKey;  // empty: none
+    std::string idempotencyKey;  // empty: the request has none
     std::string body;
 };
 
+// The result of an attempt. Values that the endpoint did not report are absent.
 struct AttemptResult {
     Outcome outcome = Outcome::reset;
-    Duration elapsed{};
+    Duration elapsed{};  // from the start of the attempt
     std::optional<LoadReport> report;
-    std::optional<double> meteredPercent;  // the tenant's use, where the endpoint reported it
-    std::optional<double> trueCost;        // of a 200: what the request cost in the end
-    std::string contentType;               // of a 200
-    std::string body;                      // of a 200
+    std::optional<double> meteredPercent;  // of the tenant's quota in use, over all gateways
+    std::optional<double> trueCost;        // what the request cost in the end; with Outcome::ok only
+    std::string contentType;               // with Outcome::ok only
+    std::string body;                      // with Outcome::ok only
 };
 
-// An attempt that never began.
+// The result of an attempt of which the endpoint received nothing.
 inline AttemptResult notSentResult() {
     AttemptResult result;
     result.outcome = Outcome::notSent;
--- /dev/null
+++ b/src/net/upstream/attempt_runner.cpp
@@ -0,0 +1,164 @@
+#include "net/upstream/attempt_runner.h"
+
+#include <chrono>
+#include <utility>
+
+namespace gateway::net {
+
+using std::chrono::milliseconds;
+using std::chrono::steady_clock;
+
+AttemptRunner::AttemptRunner(boost::asio::io_context& io, TimerQueue& timers, IdleConnectionPool& idle,
+                             const Limits& limits, Hooks hooks)
+    : io_(io), timers_(timers), idle_(idle), limits_(limits), hooks_(std::move(hooks)) {}
+
+// ---- Start and send -------------------------------------------------------------------------------
+
+void AttemptRunner::start(AttemptId id, std::shared_ptr<UpstreamEndpoint> endpoint, const Options& options,
+                          std::shared_ptr<const ForwardedRequest> request) {
+    Attempt& attempt = attempts_[id];
+    attempt.endpoint = std::move(endpoint);
+    attempt.request = std::move(request);
+    attempt.startedAt = steady_clock::now();
+    attempt.timeoutAt = attempt.startedAt + options.timeout;
+    attempt.startDeadline = options.startWithin > Duration::zero() ? attempt.startedAt + options.startWithin
+                                                                   : SteadyTimePoint::max();
+    if (!canStart(attempt)) {
+        finish(id, Outcome::notSent);
+        return;
+    }
+    attempt.timeoutTimer = timers_.after(options.timeout, [this, id] { expire(id); });
+    attempt.connection = idle_.take(attempt.endpoint->id());
+    if (attempt.connection) {
+        attempt.connection->assign(id);
+        send(attempt);
+        return;
+    }
+    if (!hasConnectionCapacity()) {  // a shortage of this process says nothing about the endpoint's health
+        finish(id, Outcome::notSent);
+        return;
+    }
+    connect(attempt, id, options.timeout);
+}
+
+bool AttemptRunner::canStart(const Attempt& attempt) const {
+    return attempt.endpoint && attempt.timeoutAt > attempt.startedAt &&
+           attempt.endpoint->acceptsAttempts(steady_clock::now(), limits_.drainGracePeriod);
+}
+
+// Whether a connection may be opened, if need be in place of an idle one.
+bool AttemptRunner::hasConnectionCapacity() {
+    return *openConnections_ < limits_.connections || idle_.evictOldest();
+}
+
+void AttemptRunner::connect(Attempt& attempt, AttemptId id, Duration timeout) {
+    attempt.connection = std::make_shared<UpstreamConnection>(
+        io_, static_cast<UpstreamConnectionObserver&>(*this), timers_, openConnections_);
+    attempt.connection->assign(id);
+    const bool hasConnectTimeout = limits_.connectTimeout > Duration::zero();
+    attempt.connection->connect(attempt.endpoint->address(), timers_,
+                                hasConnectTimeout ? limits_.connectTimeout : timeout,
+                                limits_.reclaimDescriptor);
+}
+
+void AttemptRunner::onConnected(AttemptId id) {
+    hooks_.beforeSend(id);
+    if (!hooks_.isWanted(id)) {
+        cancel(id);
+        return;
+    }
+    const auto found = attempts_.find(id);
+    if (found == attempts_.end()) return;
+    const Attempt& attempt = found->second;
+    // The endpoint started draining, or the start deadline passed, while connecting.
+    const SteadyTimePoint now = steady_clock::now();
+    if (!attempt.endpoint->acceptsAttempts(now, limits_.drainGracePeriod) || now >= attempt.startDeadline) {
+        attempt.connection->close();
+        finish(id, Outcome::notSent);
+        return;
+    }
+    send(attempt);
+}
+
+void AttemptRunner::send(const Attempt& attempt) {
+    const auto timeLeft = std::chrono::duration_cast<milliseconds>(attempt.timeoutAt - steady_clock::now());
+    attempt.connection->write(*attempt.request, timeLeft);
+}
+
+// ---- Ends -----------------------------------------------------------------------------------------
+
+void AttemptRunner::onResponse(AttemptId id, AttemptResult&& result, bool isReusable) {
+    const auto found = attempts_.find(id);
+    if (found == attempts_.end()) return;
+    Attempt& attempt = found->second;
+    const SteadyTimePoint now = steady_clock::now();
+    attempt.endpoint->noteResponse(now);
+    if (isReusable && !attempt.endpoint->isDraining())
+        idle_.add(attempt.endpoint->id(), attempt.connection, now);
+    else
+        attempt.connection->close();
+    finish(id, std::move(result));
+}
+
+void AttemptRunner::onBroken(const ConnectionPtr& connection) {
+    const AttemptId id = connection->attempt();
+    if (id == AttemptId::none) {
+        onUnexpectedInput(connection);
+    } else if (connection->isRequestWritten()) {
+        finish(id, Outcome::reset);  // it may have run
+    } else {
+        // The end of a connection that had been idle, or a shortage of descriptors in this process, says
+        // nothing about the endpoint's health.
+        const bool isEndpointAtFault = !connection->isReused() && !connection->lacksDescriptor();
+        finish(id, isEndpointAtFault ? Outcome::connectFailed : Outcome::notSent);
+    }
+}
+
+void AttemptRunner::onUnexpectedInput(const ConnectionPtr& connection) {
+    idle_.close(connection);
+}
+
+void AttemptRunner::expire(AttemptId id) {
+    const auto found = attempts_.find(id);
+    if (found == attempts_.end()) return;
+    const Attempt& attempt = found->second;
+    attempt.connection->close();
+    // A machine that was cut off sends nothing, and its connections stay open. If no response came from the
+    // endpoint during the attempt, its idle connections are closed as well: the next attempt then connects,
+    // which shows whether the endpoint is reachable. A draining endpoint has no idle connections, and an
+    // endpoint that was listed again under its name keeps those that are its own.
+    const UpstreamEndpoint& endpoint = *attempt.endpoint;
+    if (!endpoint.isDraining() && endpoint.lastResponseAt() < attempt.startedAt)
+        idle_.closeAll(endpoint.id());
+    finish(id, attempt.connection->isRequestWritten() ? Outcome::timedOut : Outcome::connectFailed);
+}
+
+void AttemptRunner::cancel(AttemptId id) {
+    const auto found = attempts_.find(id);
+    if (found == attempts_.end()) return;
+    const Attempt& attempt = found->second;
+    attempt.connection->close();
+    finish(id, attempt.connection->isRequestWritten() ? Outcome::cancelled : Outcome::notSent);
+}
+
+void AttemptRunner::cancelUnsent(AttemptId id) {
+    const auto found = attempts_.find(id);
+    if (found != attempts_.end() && !found->second.connection->isRequestWritten()) cancel(id);
+}
+
+void AttemptRunner::finish(AttemptId id, Outcome outcome) {
+    AttemptResult result;
+    result.outcome = outcome;
+    finish(id, std::move(result));
+}
+
+void AttemptRunner::finish(AttemptId id, AttemptResult&& result) {
+    const auto found = attempts_.find(id);
+    if (found == attempts_.end()) return;
+    result.elapsed = std::chrono::duration_cast<Duration>(steady_clock::now() - found->second.startedAt);
+    timers_.cancel(found->second.timeoutTimer);
+    attempts_.erase(found);
+    hooks_.onEnded(id, std::move(result));
+}
+
+}  // namespace gateway::net
--- a/src/net/upstream/upstream_connection.cpp
+++ b/src/net/upstream/upstream_connection.cpp
@@ -1,6 +1,8 @@
 #include "net/upstream/upstream_connection.h"
 
 #include <algorithm>
+#include <boost/beast/http/error.hpp>
+#include <boost/beast/http/status.hpp>
 #include <string>
 #include <utility>
 
@@ -13,18 +15,21 @@
 
 namespace {
 
-constexpr int kMaxInterimResponses = 8;  // 1xx responses ahead of one
-constexpr unsigned kFirstFinalStatus = 200;
-// A response that has begun is whole by then, or it is spoilt: its head does not end, or announces more than
-// comes.
+constexpr int kMaxInterimResponses = 8;  // 1xx responses ahead of a final one
+// From the first bytes of a response. A response can be without end: its head may not end, or may announce
+// more bytes than come.
 constexpr Duration kMaxResponseTime = std::chrono::milliseconds(200);
 constexpr std::size_t kUsualHeadBytes = 320;
 
+bool isInterim(const HttpResponse& message) {
+    return message.result_int() < static_cast<unsigned>(http::status::ok);
+}
+
 }  // namespace
 
-UpstreamConnection::UpstreamConnection(boost::asio::io_context& io, Owner& owner, TimerQueue& timers,
-                                       std::shared_ptr<std::size_t> openConnections)
-    : TcpConnection(io), owner_(owner), timers_(timers), openConnections_(std::move(openConnections)) {
+UpstreamConnection::UpstreamConnection(boost::asio::io_context& io, UpstreamConnectionObserver& observer,
+                                       TimerQueue& timers, std::shared_ptr<std::size_t> openConnections)
+    : TcpConnection(io), observer_(observer), timers_(timers), openConnections_(std::move(openConnections)) {
     ++*openConnections_;
 }
 
@@ -35,16 +40,16 @@
 void UpstreamConnection::assign(AttemptId attempt) {
     attempt_ = attempt;
     interimResponses_ = 0;
-    beginResponse();
+    expectResponse();
 }
 
 void UpstreamConnection::write(const ForwardedRequest& request, std::chrono::milliseconds timeout) {
-    const auto milliseconds = std::max<long long>(1, timeout.count());
+    const auto timeoutMs = std::max<long long>(1, timeout.count());
     std::string text;
     text.reserve(kUsualHeadBytes + request.target.size() + request.body.size());
     text.append(request.method).append(" ").append(request.target).append(" HTTP/1.1\r\nHost: ");
     text.append(request.host).append("\r\nRequest-Id: ").append(request.id);
-    text.append("\r\nRequest-Timeout-Ms: ").append(std::to_string(milliseconds));
+    text.append("\r\nRequest-Timeout-Ms: ").append(std::to_string(timeoutMs));
     if (!request.idempotencyKey.empty()) text.append("\r\nIdempotency-Key: ").append(request.idempotencyKey);
     if (request.method != "GET")
         text.append("\r\nContent-Length: ").append(std::to_string(request.body.size()));
@@ -53,8 +58,8 @@
     send(text);
 }
 
-void UpstreamConnection::beginResponse() {
-    ++response_;
+void UpstreamConnection::expectResponse() {
+    ++responseNumber_;
     parser_.emplace();
     parser_->body_limit(kMaxBodyBytes);
     parser_->header_limit(kMaxHeaderBytes);
@@ -62,45 +67,71 @@
 }
 
 void UpstreamConnection::onReceived() {
-    // Bytes that nobody asked for would be taken for the next request's response.
-    if (attempt_ == AttemptId::none) return owner_.onUnexpectedInput(self());
-    if (written() == writtenBefore_) return breakOff();  // nor can they answer what is not written yet
-    while (input().size() > 0) {
-        error_code ec;
-        const std::size_t used = parser_->put(input().data(), ec);
-        input().consume(used);
-        if (announcesBodyOver(*parser_, kMaxBodyBytes)) return breakOff();
-        if (ec == http::error::need_more) return awaitRest();
-        // Malformed, or of unknown length: a response that ends with the connection may have been cut short.
-        if (ec || parser_->need_eof()) return breakOff();
-        if (!parser_->is_done()) return awaitRest();
-        if (parser_->get().result_int() >= kFirstFinalStatus) return finishResponse();
-        // An interim response; the real one follows, in its own time.
-        if (++interimResponses_ > kMaxInterimResponses) return breakOff();
-        beginResponse();
+    if (attempt_ == AttemptId::none) {  // else the bytes would be taken for the next request's response
+        observer_.onUnexpectedInput(self());
+        return;
+    }
+    if (written() == writtenBefore_) {  // a response to a request of which no byte was written
+        closeAsBroken();
+        return;
     }
+    ParseProgress progress = ParseProgress::interim;
+    while (progress == ParseProgress::interim && input().size() > 0) progress = parseInput();
+    switch (progress) {
+        case ParseProgress::incomplete:
+            limitResponseTime();
+            break;
+        case ParseProgress::interim:  // the final response has a time limit of its own
+            break;
+        case ParseProgress::complete:
+            finishResponse();
+            break;
+        case ParseProgress::malformed:
+            closeAsBroken();
+            break;
+    }
+}
+
+// Consumes input for the response in hand. After an interim response, the next one is in hand.
+UpstreamConnection::ParseProgress UpstreamConnection::parseInput() {
+    error_code ec;
+    const std::size_t used = parser_->put(input().data(), ec);
+    input().consume(used);
+    if (announcesBodyOver(*parser_, kMaxBodyBytes)) return ParseProgress::malformed;
+    if (ec == http::error::need_more) return ParseProgress::incomplete;
+    // A response that ends with its connection may have been truncated.
+    if (ec || parser_->need_eof()) return ParseProgress::malformed;
+    if (!parser_->is_done()) return ParseProgress::incomplete;
+    if (!isInterim(parser_->get())) return ParseProgress::complete;
+    ++interimResponses_;
+    if (interimResponses_ > kMaxInterimResponses) return ParseProgress::malformed;
+    expectResponse();
+    return ParseProgress::interim;
 }
 
-void UpstreamConnection::awaitRest() {
-    if (std::exchange(limitedResponse_, response_) == response_) return;
-    timers_.after(kMaxResponseTime, [weak = weak_from_this(), response = response_] {
+void UpstreamConnection::limitResponseTime() {
+    if (timeLimitedResponseNumber_ == responseNumber_) return;
+    timeLimitedResponseNumber_ = responseNumber_;
+    timers_.after(kMaxResponseTime, [weak = weak_from_this(), number = responseNumber_] {
         const auto connection = std::static_pointer_cast<UpstreamConnection>(weak.lock());
-        if (connection && connection->isOpen() && connection->response_ == response) connection->breakOff();
+        if (connection && connection->isOpen() && connection->responseNumber_ == number)
+            connection->closeAsBroken();
     });
 }
 
 void UpstreamConnection::finishResponse() {
     AttemptResult result = readAttemptResult(parser_->get());
-    ++response_;
-    const bool reusable = parser_->keep_alive() && input().size() == 0 && allWritten();
+    ++responseNumber_;
+    const bool isReusable = parser_->keep_alive() && input().size() == 0 && allWritten();
     parser_.reset();
-    owner_.onResponse(std::exchange(attempt_, AttemptId::none), std::move(result), reusable);
-    if (!reusable) close();
+    const AttemptId attempt = std::exchange(attempt_, AttemptId::none);
+    observer_.onResponse(attempt, std::move(result), isReusable);
+    if (!isReusable) close();
 }
 
-void UpstreamConnection::breakOff() {
+void UpstreamConnection::closeAsBroken() {
     close();
-    owner_.onBroken(self());
+    observer_.onBroken(self());
 }
 
 }  // namespace gateway::net
--- a/src/net/upstream/upstream_connection.h
+++ b/src/net/upstream/upstream_connection.h
@@ -1,88 +1,97 @@
-// One connection to an endpoint. Carries one attempt at a time; nothing is sent again.
+// One connection to an endpoint. It carries one attempt at a time.
 #pragma once
 
 #include <boost/beast/http/parser.hpp>
 #include <boost/beast/http/string_body.hpp>
 #include <chrono>
+#include <cstddef>
+#include <cstdint>
 #include <memory>
 #include <optional>
 
 #include "net/transport/tcp_connection.h"
+#include "net/transport/timer_queue.h"
 #include "net/upstream/attempt.h"
 
 namespace gateway::net {
 
-// Numbers an attempt over all endpoints; never comes twice.
-enum class AttemptId : std::uint64_t { none = 0 };
+class UpstreamConnection;
+
+// Learns what happens on upstream connections. Calls come from the event loop, and within connect() never.
+class UpstreamConnectionObserver {
+public:
+    UpstreamConnectionObserver() = default;
+    UpstreamConnectionObserver(const UpstreamConnectionObserver&) = delete;
+    UpstreamConnectionObserver& operator=(const UpstreamConnectionObserver&) = delete;
+    virtual ~UpstreamConnectionObserver() = default;
+
+    // The connection is up, and the attempt can be written on it.
+    virtual void onConnected(AttemptId attempt) = 0;
+
+    // A complete response came. `isReusable`: the connection may carry another attempt. If not, it is closed
+    // after this call.
+    virtual void onResponse(AttemptId attempt, AttemptResult&& result, bool isReusable) = 0;
+
+    // The connection failed or ended, or a malformed response came on it. It is closed. Its attempt is still
+    // assigned, or AttemptId::none if it was idle.
+    virtual void onBroken(const std::shared_ptr<UpstreamConnection>& connection) = 0;
+
+    // Bytes came while the connection was idle. It is still open.
+    virtual void onUnexpectedInput(const std::shared_ptr<UpstreamConnection>& connection) = 0;
+};
 
 class UpstreamConnection final : public TcpConnection {
 public:
-    // What a connection needs of the pool that it belongs to.
-    class Owner {
-    public:
-        Owner() = default;
-        Owner(const Owner&) = delete;
-        Owner& operator=(const Owner&) = delete;
-        virtual ~Owner() = default;
-
-        virtual void onConnected(AttemptId attempt) = 0;
-        // A whole response. `reusable`: the connection may carry another attempt, else it is closed.
-        virtual void onResponse(AttemptId attempt, AttemptResult&& result, bool reusable) = 0;
-        // The connection ended, or what came on it can't be read.
-        virtual void onBroken(const std::shared_ptr<UpstreamConnection>& connection) = 0;
-        // Bytes came that nobody asked for.
-        virtual void onUnexpectedInput(const std::shared_ptr<UpstreamConnection>& connection) = 0;
-    };
-
-    // `openConnections` is one higher while this lives. `owner` and `timers` must outlive the connection's
-    // being open.
-    UpstreamConnection(boost::asio::io_context& io, Owner& owner, TimerQueue& timers,
+    // `observer` and `timers` must outlive the connection's being open. `openConnections` is incremented for
+    // the lifetime of this object.
+    UpstreamConnection(boost::asio::io_context& io, UpstreamConnectionObserver& observer, TimerQueue& timers,
                        std::shared_ptr<std::size_t> openConnections);
     ~UpstreamConnection() override;
     UpstreamConnection(const UpstreamConnection&) = delete;
     UpstreamConnection& operator=(const UpstreamConnection&) = delete;
 
-    // From now on the connection is that attempt's.
+    // Assigns the connection to an attempt until its response is complete. Precondition: no attempt is
+    // assigned.
     void assign(AttemptId attempt);
     AttemptId attempt() const { return attempt_; }
 
-    // Writes the attempt's request; `timeout` is sent to the endpoint.
+    // Writes the request of the assigned attempt, once. `timeout` is sent to the endpoint, as 1 ms at least.
+    // Precondition: the connection is open.
     void write(const ForwardedRequest& request, std::chrono::milliseconds timeout);
 
-    // The last byte of the attempt's request has gone to the kernel: it may have run.
+    // Whether the last byte of the attempt's request was handed to the kernel. If so, the endpoint may run
+    // it.
     bool isRequestWritten() const { return written() > writtenBefore_ && allWritten(); }
 
-    // It carried an attempt before this one.
+    // Whether it carried an attempt before this one.
     bool isReused() const { return writtenBefore_ > 0; }
 
-    void setIdleSince(std::chrono::steady_clock::time_point moment) { idleSince_ = moment; }
-    std::chrono::steady_clock::time_point idleSince() const { return idleSince_; }
-
 private:
     using Parser = boost::beast::http::response_parser<boost::beast::http::string_body>;
+    enum class ParseProgress { incomplete, interim, complete, malformed };
 
-    void onConnected() override { owner_.onConnected(attempt_); }
+    void onConnected() override { observer_.onConnected(attempt_); }
     void onReceived() override;
-    void onClosed() override { owner_.onBroken(self()); }
+    void onClosed() override { observer_.onBroken(self()); }
 
-    void beginResponse();
-    void awaitRest();
+    void expectResponse();
+    ParseProgress parseInput();
+    void limitResponseTime();
     void finishResponse();
-    void breakOff();
+    void closeAsBroken();
     std::shared_ptr<UpstreamConnection> self() {
         return std::static_pointer_cast<UpstreamConnection>(shared_from_this());
     }
 
-    Owner& owner_;
+    UpstreamConnectionObserver& observer_;
     TimerQueue& timers_;
-    std::shared_ptr<std::size_t> openConnections_;  // may outlive the pool in the loop's last handlers
+    std::shared_ptr<std::size_t> openConnections_;  // may outlive its owner in the loop's last handlers
     AttemptId attempt_ = AttemptId::none;
-    std::uint64_t writtenBefore_ = 0;  // bytes, before the attempt's request
-    std::chrono::steady_clock::time_point idleSince_{};
-    std::uint64_t response_ = 0;         // number of the one in hand
-    std::uint64_t limitedResponse_ = 0;  // of the one whose rest has a time limit
-    int interimResponses_ = 0;
-    std::optional<Parser> parser_;
+    std::uint64_t writtenBefore_ = 0;              // bytes, before the attempt's request
+    std::uint64_t responseNumber_ = 0;             // of the response in hand
+    std::uint64_t timeLimitedResponseNumber_ = 0;  // of the latest response whose remainder has a time limit
+    int interimResponses_ = 0;                     // ahead of the response in hand
+    std::optional<Parser> parser_;                 // empty while the connection is idle
 };
 
 }  // namespace gateway::net
--- a/src/net/upstream/upstream_response.cpp
+++ b/src/net/upstream/upstream_response.cpp
@@ -2,8 +2,10 @@
 
 #include <algorithm>
 #include <boost/beast/http/field.hpp>
+#include <boost/beast/http/status.hpp>
 #include <charconv>
 #include <cmath>
+#include <optional>
 #include <utility>
 
 namespace gateway::net {
@@ -13,23 +15,21 @@
 
 namespace {
 
-constexpr double kMaxFigure = 1e6;  // more is none
-constexpr int kOk = 200;
-constexpr int kUnavailable = 503;
-constexpr int kGatewayTimeout = 504;
+constexpr double kMaxNumber = 1e6;  // a larger one counts as not reported
 
-std::optional<double> parseFigure(string_view text) {
+// Returns the finite decimal number from 0 to kMaxNumber that `text` consists of, or nothing.
+std::optional<double> parseNumber(string_view text) {
     while (!text.empty() && text.back() == ' ') text.remove_suffix(1);
     double value = 0;
-    const char* end = text.data() + text.size();
+    const char* const end = text.data() + text.size();
     const auto parsed = std::from_chars(text.data(), end, value);
     if (text.empty() || parsed.ec != std::errc() || parsed.ptr != end) return std::nullopt;
-    if (!std::isfinite(value) || value < 0 || value > kMaxFigure) return std::nullopt;
+    if (!std::isfinite(value) || value < 0 || value > kMaxNumber) return std::nullopt;
     return value;
 }
 
-// The header Server-Load, "inflight=7,queue=2", by the names of the settings or of the documents. Items of
-// other names are passed over.
+// Parses the header Server-Load, for example "inflight=7,queue=2". The attempts in flight come as "rif" or
+// "inflight". Other items are ignored.
 std::optional<LoadReport> parseLoadReport(string_view text) {
     std::optional<LoadReport> report;
     while (!text.empty()) {
@@ -41,16 +41,18 @@
         if (equals == string_view::npos) continue;
         const string_view name = item.substr(0, equals);
         if (name != "rif" && name != "inflight") continue;
-        if (const auto value = parseFigure(item.substr(equals + 1))) report = LoadReport{*value};
+        if (const auto inFlight = parseNumber(item.substr(equals + 1))) report = LoadReport{*inFlight};
     }
     return report;
 }
 
+// An endpoint that has not started the request says so by "Not-Started: 1" on a 503 or 504.
 Outcome outcomeOf(const HttpResponse& message) {
-    const int status = static_cast<int>(message.result_int());
-    if (status == kOk) return Outcome::ok;
-    const bool mayTellNotStarted = status == kUnavailable || status == kGatewayTimeout;
-    return mayTellNotStarted && message["Not-Started"] == "1" ? Outcome::rejected : Outcome::error;
+    const http::status status = message.result();
+    if (status == http::status::ok) return Outcome::ok;
+    const bool canBeNotStarted =
+        status == http::status::service_unavailable || status == http::status::gateway_timeout;
+    return canBeNotStarted && message["Not-Started"] == "1" ? Outcome::rejected : Outcome::error;
 }
 
 }  // namespace
@@ -59,11 +61,11 @@
     AttemptResult result;
     result.outcome = outcomeOf(message);
     result.report = parseLoadReport(message["Server-Load"]);
-    result.meteredPercent = parseFigure(message["X-Meter"]);
+    result.meteredPercent = parseNumber(message["X-Meter"]);
     if (result.outcome != Outcome::ok) return result;
-    result.trueCost = parseFigure(message["X-Settled"]);
-    const string_view type = message[http::field::content_type];
-    result.contentType.assign(type.data(), type.size());
+    result.trueCost = parseNumber(message["X-Settled"]);
+    const string_view contentType = message[http::field::content_type];
+    result.contentType.assign(contentType.data(), contentType.size());
     result.body = std::move(message.body());
     return result;
 }
--- a/src/net/upstream/upstream_response.h
+++ b/src/net/upstream/upstream_response.h
@@ -1,4 +1,5 @@
-// Interprets an endpoint's HTTP response as the result of an attempt.
+// Interprets an endpoint's HTTP response as the result of an attempt. The only place that knows the names of
+// endpoints' response headers.
 #pragma once
 
 #include <boost/beast/http/message.hpp>
@@ -10,8 +11,9 @@
 
 using HttpResponse = boost::beast::http::response<boost::beast::http::string_body>;
 
-// Takes the body out of a final response, one with a status of 200 or more. Figures in headers that can't be
-// read whole count as not reported: one NaN would stay in the module's means for good.
+// Reads a complete, final response and moves its body into the result. Precondition: the status is 200 or
+// more. A header whose number is malformed, not finite or out of range counts as not reported, since a NaN
+// would stay in the decision module's averages. Leaves AttemptResult::elapsed unset.
 AttemptResult readAttemptResult(HttpResponse& message);
 
 }  // namespace gateway::net
