--- a/src/net/counter/counter_client.cpp
+++ b/src/net/counter/counter_client.cpp
@@ -22,58 +22,64 @@
 
 }  // namespace
 
-CounterClient::CounterClient(boost::asio::io_context& io, TimerQueue& timers, const tcp::endpoint& address,
-                             const Limits& limits, ReplyHandler onReply)
-    : io_(io),
+CounterClient::CounterClient(boost::asio::io_context& ioContext, TimerQueue& timers,
+                             const tcp::endpoint& address, const Limits& limits, ReplyHandler onReply)
+    : ioContext_(ioContext),
       timers_(timers),
       address_(address),
       host_(toString(address)),
       limits_(limits),
       onReply_(std::move(onReply)),
-      lanes_(limits.connections) {}
+      lanes_(limits.lanes) {}
 
 // ---- Calls ----------------------------------------------------------------------------------------
 
 void CounterClient::add(const AddToCounter& call) {
     const std::size_t lane = std::hash<std::string>{}(call.name) % lanes_.size();
-    if (const ConnectionPtr& connection = openConnection(lane)) {
+    if (const ConnectionPtr& connection = ensureConnection(lane)) {
         connection->call(call, host_);
         lanes_[lane].needsFlush = true;
         return;
     }
-    CounterReplied reply;  // it could not be reached a moment ago
+    CounterReplied reply;
     reply.name = call.name;
     reply.outcome = Outcome::connectFailed;
     onReply_(std::move(reply));
 }
 
 void CounterClient::flush() {
-    for (Lane& lane : lanes_)
-        if (std::exchange(lane.needsFlush, false) && lane.current) lane.current->flush();
+    for (Lane& lane : lanes_) {
+        if (!lane.needsFlush) continue;
+        lane.needsFlush = false;
+        if (lane.current) lane.current->flush();
+    }
 }
 
 bool CounterClient::isIdle() const {
-    return std::all_of(lanes_.begin(), lanes_.end(), [](const Lane& lane) {
-        return (!lane.current || lane.current->isIdle()) && (!lane.previous || lane.previous->isIdle());
+    const auto hasNoCalls = [](const ConnectionPtr& connection) {
+        return !connection || connection->isIdle();
+    };
+    return std::all_of(lanes_.begin(), lanes_.end(), [&](const Lane& lane) {
+        return hasNoCalls(lane.current) && hasNoCalls(lane.previous);
     });
 }
 
 // ---- Connections ----------------------------------------------------------------------------------
 
-const CounterClient::ConnectionPtr& CounterClient::openConnection(std::size_t index) {
+const CounterClient::ConnectionPtr& CounterClient::ensureConnection(std::size_t index) {
     Lane& lane = lanes_[index];
     if (lane.current && lane.current->isStale()) {
-        const auto stale = std::exchange(lane.current, nullptr);
+        const ConnectionPtr stale = std::exchange(lane.current, nullptr);
         stale->failAll();
     }
-    if (!lane.current && steady_clock::now() >= lane.closedUntil) connect(index);
+    if (!lane.current && steady_clock::now() >= lane.connectNotBefore) connect(index);
     return lane.current;
 }
 
 void CounterClient::connect(std::size_t index) {
     Lane& lane = lanes_[index];
-    lane.current = std::make_shared<CounterConnection>(io_, static_cast<CounterConnection::Owner&>(*this),
-                                                       timers_, index, limits_.callTimeout);
+    lane.current = std::make_shared<CounterConnection>(
+        ioContext_, static_cast<CounterConnectionObserver&>(*this), timers_, index, limits_.callTimeout);
     lane.current->connect(address_, timers_, limits_.connectTimeout, limits_.reclaimDescriptor);
 }
 
@@ -81,16 +87,16 @@
     lanes_[connection.lane()].backoff = {};
 }
 
-void CounterClient::onBroken(const CounterConnection& connection, bool wasUp) {
+void CounterClient::onBroken(const CounterConnection& connection, bool wasConnected) {
     Lane& lane = lanes_[connection.lane()];
     if (lane.current.get() != &connection) return;
     lane.current = nullptr;
-    if (wasUp) return;  // an idle one that was closed: the next call connects at once
+    if (wasConnected) return;  // the counter may have closed an idle connection: no reason to back off
     lane.backoff = std::clamp(lane.backoff * 2, kInitialBackoff, kMaxBackoff);
-    lane.closedUntil = steady_clock::now() + lane.backoff;
+    lane.connectNotBefore = steady_clock::now() + lane.backoff;
 }
 
-// ---- Another address ------------------------------------------------------------------------------
+// ---- Moving to another address --------------------------------------------------------------------
 
 void CounterClient::moveTo(const tcp::endpoint& address) {
     if (address == address_) return;
@@ -101,23 +107,23 @@
 
 void CounterClient::moveLane(std::size_t index) {
     Lane& lane = lanes_[index];
-    // Replies of two moves ago can't be waited for: what comes of those calls is reported as unknown.
-    if (const auto older = std::exchange(lane.previous, nullptr)) older->failAll();
-    if (const auto old = std::exchange(lane.current, nullptr)) {
-        if (!old->isOpen() || old->isIdle()) {
-            old->failAll();
-        } else {
-            lane.previous = old;  // its calls end by their own time limits at the latest
-            old->release();
-        }
+    // A lane has at most one previous connection: calls at the address before that end as timed out.
+    const ConnectionPtr oldest = std::exchange(lane.previous, nullptr);
+    if (oldest) oldest->failAll();
+    const ConnectionPtr old = std::exchange(lane.current, nullptr);
+    if (old && old->isOpen() && !old->isIdle()) {
+        lane.previous = old;  // its calls end by their own timeouts at the latest
+        old->release();
+    } else if (old) {
+        old->failAll();
     }
     lane.backoff = {};
-    lane.closedUntil = {};
-    if (!lane.current) connect(index);  // what was reported may have caused a call already
+    lane.connectNotBefore = {};
+    if (!lane.current) connect(index);  // a call that the reports above caused has connected already
 }
 
-// The module takes a name's replies in the order of its calls: no call goes to the new address while one is
-// out at the old.
+// The engine takes replies for a name in the order of the calls: nothing is written to the new address while
+// a call at the old one is in flight.
 bool CounterClient::mayWrite(const CounterConnection& connection) const {
     const Lane& lane = lanes_[connection.lane()];
     return lane.previous == nullptr || lane.previous.get() == &connection;
@@ -127,7 +133,7 @@
     onReply_(std::move(reply));
     const Lane& lane = lanes_[connection.lane()];
     if (lane.previous.get() != &connection || !connection.isIdle()) return;
-    // From the loop, as the old connection may be in the midst of its input.
+    // Retired from the event loop, as the connection may still be reading its input.
     timers_.after(Duration::zero(), [this, index = connection.lane(), weak = std::weak_ptr(lane.previous)] {
         if (const auto previous = weak.lock()) retirePrevious(index, previous);
     });
--- a/src/net/counter/counter_client.h
+++ b/src/net/counter/counter_client.h
@@ -1,5 +1,4 @@
-// Calls the counter service over a few connections. A name always goes over the same lane, so that the
-// replies for it come in the order of the calls.
+// Calls the counter service over a few connections.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,38 +15,41 @@
 
 namespace gateway::net {
 
-class CounterClient final : private CounterConnection::Owner {
+// Spreads calls over lanes by name: all calls for a name go over one lane, so their replies come in the order
+// of the calls. A lane has one connection, which it replaces when the connection breaks or the counter moves.
+class CounterClient final : private CounterConnectionObserver {
 public:
     struct Limits {
-        std::size_t connections = 8;  // the counter takes 32 of a gateway
+        std::size_t lanes = 8;  // the counter accepts 32 connections from a gateway
         Duration callTimeout{};
         Duration connectTimeout{};
-        ReclaimDescriptor reclaimDescriptor{};  // where the process has no descriptor left
+        ReclaimDescriptor reclaimDescriptor{};  // called when the process has no free descriptor
     };
     using ReplyHandler = std::function<void(CounterReplied&&)>;
 
-    // `io` and `timers` must outlive the client.
-    CounterClient(boost::asio::io_context& io, TimerQueue& timers, const tcp::endpoint& address,
+    // `ioContext` and `timers` must outlive the client.
+    CounterClient(boost::asio::io_context& ioContext, TimerQueue& timers, const tcp::endpoint& address,
                   const Limits& limits, ReplyHandler onReply);
 
-    // Every call ends with one ReplyHandler call, at the earliest within this one. It goes out with flush().
+    // Starts a call. The ReplyHandler is called once for it, possibly before add() returns. The call is sent
+    // with flush().
     void add(const AddToCounter& call);
     void flush();
 
-    // Every call has ended.
+    // All calls have ended.
     bool isIdle() const;
 
-    // Goes over to the counter at another address: calls made from now on go there, each name's after those
-    // that are out at the old one have ended.
+    // Moves to the counter at another address. New calls go there, but a lane's new calls wait until its
+    // calls at the old address have ended.
     void moveTo(const tcp::endpoint& address);
 
 private:
     using ConnectionPtr = std::shared_ptr<CounterConnection>;
 
-    struct Lane {  // a connection and its successors
+    struct Lane {
         ConnectionPtr current;
-        ConnectionPtr previous;  // to the old address, while its calls are out
-        std::chrono::steady_clock::time_point closedUntil{};
+        ConnectionPtr previous;  // to the old address, until its calls have ended
+        std::chrono::steady_clock::time_point connectNotBefore{};
         Duration backoff{};
         bool needsFlush = false;
     };
@@ -55,17 +57,18 @@
     bool mayWrite(const CounterConnection& connection) const override;
     void onConnected(const CounterConnection& connection) override;
     void onReply(const CounterConnection& connection, CounterReplied&& reply) override;
-    void onBroken(const CounterConnection& connection, bool wasUp) override;
+    void onBroken(const CounterConnection& connection, bool wasConnected) override;
 
-    const ConnectionPtr& openConnection(std::size_t index);
+    // Returns the lane's connection, which may still be connecting; null during the lane's backoff.
+    const ConnectionPtr& ensureConnection(std::size_t index);
     void connect(std::size_t index);
     void moveLane(std::size_t index);
     void retirePrevious(std::size_t index, const ConnectionPtr& previous);
 
-    boost::asio::io_context& io_;
+    boost::asio::io_context& ioContext_;
     TimerQueue& timers_;
     tcp::endpoint address_;
-    std::string host_;  // as sent to the counter
+    std::string host_;  // `address_` as text, for the Host header
     Limits limits_;
     ReplyHandler onReply_;
     std::vector<Lane> lanes_;
