--- a/src/net/client/arrival_log.h
+++ b/src/net/client/arrival_log.h
@@ -1,41 +1,37 @@
-// When the bytes of a client's stream came.
+// Arrival times of the bytes of one stream.
 #pragma once
 
 #include <cstdint>
-#include <utility>
 #include <vector>
 
 #include "gateway/types.h"
 
 namespace gateway::net {
 
-// A client counts the time of a request from when it sent it, not from the response before. So where requests
-// are pipelined, each one's time runs from when its first byte came.
+// Tells when each pipelined request arrived. A client counts the time of a request from when it sent the
+// request, not from the response before, so each request's time runs from the arrival of its first byte.
 class ArrivalLog {
 public:
-    // Bytes have come; `unconsumed` of all that came are not consumed yet.
-    void noteArrival(std::uint64_t unconsumed, TimePoint now) {
-        if (noted_ == consumed_) arrivals_.clear();
-        if (arrivals_.empty() || now - arrivals_.back().second > kResolution)
-            arrivals_.emplace_back(noted_, now);
-        noted_ = consumed_ + unconsumed;
-    }
-
-    void consume(std::uint64_t bytes) { consumed_ += bytes; }
-
-    // When the first byte that is not consumed came. At least one such must have been noted.
-    TimePoint arrivalOfNext() {
-        while (arrivals_.size() > 1 && arrivals_[1].first <= consumed_) arrivals_.erase(arrivals_.begin());
-        return arrivals_.front().second;
-    }
+    // Notes that bytes arrived at `now`. `unconsumedBytes` counts all bytes that have arrived so far and are
+    // not consumed.
+    void noteArrival(std::uint64_t unconsumedBytes, TimePoint now);
 
-private:
-    static constexpr Duration kResolution = std::chrono::milliseconds(10);  // came together, if so close
+    // Notes that the oldest unconsumed bytes were consumed.
+    void consume(std::uint64_t bytes) { consumedBytes_ += bytes; }
+
+    // Returns when the first unconsumed byte arrived, to 10 ms, and drops the entries before it.
+    // Precondition: there is an unconsumed byte.
+    TimePoint takeArrivalOfNext();
 
-    // Moments, each with the number of bytes that came before it; those that are consumed now in front.
-    std::vector<std::pair<std::uint64_t, TimePoint>> arrivals_;
-    std::uint64_t consumed_ = 0;
-    std::uint64_t noted_ = 0;
+private:
+    struct Arrival {
+        std::uint64_t offset = 0;  // bytes that arrived before
+        TimePoint time{};
+    };
+
+    std::vector<Arrival> arrivals_;  // in order; the first covers the first unconsumed byte, or one before it
+    std::uint64_t consumedBytes_ = 0;
+    std::uint64_t arrivedBytes_ = 0;
 };
 
 }  // namespace gateway::net
--- a/src/net/client/client_request.cpp
+++ b/src/net/client/client_request.cpp
@@ -15,120 +15,169 @@
 
 namespace {
 
-constexpr std::uint64_t kMaxTenants = std::uint64_t{1} << 33;
-constexpr std::size_t kMaxIdBytes = 128;
-constexpr std::size_t kTenantDigits = 16;  // hexadecimal
+constexpr std::uint64_t kTenantIdEnd = std::uint64_t{1} << 33;  // one past the greatest
+constexpr std::size_t kTenantIdDigits = 16;
 constexpr int kHexBase = 16;
-constexpr int kMaxDeadlines = 2;  // of its class, that a client may wait
+constexpr std::size_t kMaxRequestIdBytes = 128;
+// Bounds how long a request, and its id, can be in flight: in deadlines of its class.
+constexpr int kMaxTimeoutInDeadlines = 2;
 
-constexpr int kBadRequest = 400;
-constexpr int kNotFound = 404;
-constexpr int kMethodNotAllowed = 405;
+// ---- Values ---------------------------------------------------------------------------------------
 
-template <class Number>
-std::optional<Number> parseInteger(string_view text, int base = 10) {
+// Reads text that is one number and nothing else. `format` is passed on to std::from_chars: the base of an
+// integer.
+template <class Number, class... Format>
+std::optional<Number> parseNumber(string_view text, Format... format) {
     Number value{};
-    const char* end = text.data() + text.size();
-    const auto parsed = std::from_chars(text.data(), end, value, base);
-    if (text.empty() || parsed.ec != std::errc() || parsed.ptr != end) return std::nullopt;
-    return value;
-}
-
-std::optional<double> parseDecimal(string_view text) {
-    double value = 0;
-    const char* end = text.data() + text.size();
-    const auto parsed = std::from_chars(text.data(), end, value);
+    const char* const end = text.data() + text.size();
+    const auto parsed = std::from_chars(text.data(), end, value, format...);
     if (parsed.ec != std::errc() || parsed.ptr != end) return std::nullopt;
     return value;
 }
 
-// -1 where it is not among the names.
-int positionOf(string_view name, const std::vector<std::string>& names) {
+std::optional<int> findIndex(string_view name, const std::vector<std::string>& names) {
     const auto found = std::find_if(names.begin(), names.end(),
                                     [&](const std::string& known) { return name == string_view(known); });
-    return found == names.end() ? -1 : static_cast<int>(found - names.begin());
+    if (found == names.end()) return std::nullopt;
+    return static_cast<int>(found - names.begin());
 }
 
 std::string toString(string_view text) {
     return {text.data(), text.size()};
 }
 
-string_view trimmed(string_view text) {
+string_view trim(string_view text) {
     while (!text.empty() && text.front() == ' ') text.remove_prefix(1);
     while (!text.empty() && text.back() == ' ') text.remove_suffix(1);
     return text;
 }
 
-// The first segment of the path; nothing where the target has no path.
-std::optional<string_view> firstSegment(string_view target) {
+// Returns the first segment of the target's path; nothing if the target has no path.
+std::optional<string_view> firstPathSegment(string_view target) {
     if (target.empty() || target.front() != '/') return std::nullopt;
-    return target.substr(1, std::min(target.find_first_of("/?", 1), target.size()) - 1);
+    const auto end = std::min(target.find_first_of("/?", 1), target.size());
+    return target.substr(1, end - 1);
 }
 
-// The header X-Metering, "units=2,spread=3,first=1".
+// ---- X-Metering -----------------------------------------------------------------------------------
+
+// The header X-Metering, for example "units=2,spread=3,first=1".
 struct Metering {
     std::optional<double> cost;
     std::optional<int> entryPoints;
     std::optional<int> firstEntryPoint;
 };
 
-// Nothing where an item is malformed. Items of other names are passed over.
+// Reads one item, "name=value". Ignores items with other names. Returns false if the item is malformed.
+bool readMeteringItem(string_view item, Metering& metering) {
+    const auto equals = item.find('=');
+    if (equals == string_view::npos) return false;
+    const string_view name = item.substr(0, equals);
+    const string_view value = item.substr(equals + 1);
+    if (name == "units") {
+        metering.cost = parseNumber<double>(value);
+        return metering.cost.has_value();
+    }
+    if (name == "spread") {
+        metering.entryPoints = parseNumber<int>(value);
+        return metering.entryPoints.has_value();
+    }
+    if (name == "first") {
+        metering.firstEntryPoint = parseNumber<int>(value);
+        return metering.firstEntryPoint.has_value();
+    }
+    return true;
+}
+
+// Returns nothing if an item is malformed.
 std::optional<Metering> parseMetering(string_view text) {
     Metering metering;
     while (!text.empty()) {
         const auto comma = std::min(text.find(','), text.size());
-        const string_view item = trimmed(text.substr(0, comma));
+        if (!readMeteringItem(trim(text.substr(0, comma)), metering)) return std::nullopt;
         text.remove_prefix(std::min(comma + 1, text.size()));
-        const auto equals = item.find('=');
-        if (equals == string_view::npos) return std::nullopt;
-        const string_view name = item.substr(0, equals);
-        const string_view value = item.substr(equals + 1);
-        if (name == "units" && !(metering.cost = parseDecimal(value))) return std::nullopt;
-        if (name == "spread" && !(metering.entryPoints = parseInteger<int>(value))) return std::nullopt;
-        if (name == "first" && !(metering.firstEntryPoint = parseInteger<int>(value))) return std::nullopt;
     }
     return metering;
 }
 
-// False where a value is missing or out of range.
+// ---- Headers, into RequestArrived: each function returns false if its header is invalid -----------
+
 bool readMetering(string_view text, const RequestRules& rules, RequestArrived& arrival) {
     const std::optional<Metering> metering = parseMetering(text);
     if (!metering || !metering->cost || !metering->entryPoints || !metering->firstEntryPoint) return false;
     const double cost = *metering->cost;
     if (!std::isfinite(cost) || cost <= 0 || cost > rules.maxRequestCost) return false;
     const int entryPoints = *metering->entryPoints;
-    const int first = *metering->firstEntryPoint;
     if (entryPoints < 1 || entryPoints > rules.gatewayCount) return false;
+    const int first = *metering->firstEntryPoint;
     if (first < 0 || first >= rules.gatewayCount) return false;
     arrival.cost = cost;
     arrival.entryPoints = entryPoints;
     return true;
 }
 
+bool readPlan(string_view name, const RequestRules& rules, RequestArrived& arrival) {
+    const auto plan = findIndex(name, rules.planNames);
+    if (!plan) return false;
+    arrival.plan = QuotaPlanIndex{*plan};
+    return true;
+}
+
+bool readRequestId(string_view text, RequestArrived& arrival) {
+    if (text.empty() || text.size() > kMaxRequestIdBytes) return false;
+    arrival.request = RequestId(toString(text));
+    return true;
+}
+
 bool readTenant(string_view text, RequestArrived& arrival) {
-    if (text.size() != kTenantDigits) return false;
-    const auto number = parseInteger<std::uint64_t>(text, kHexBase);
-    if (!number || *number >= kMaxTenants) return false;
-    arrival.tenant = TenantId{*number};
+    if (text.size() != kTenantIdDigits) return false;
+    const auto id = parseNumber<std::uint64_t>(text, kHexBase);
+    if (!id || *id >= kTenantIdEnd) return false;
+    arrival.tenant = TenantId{*id};
     return true;
 }
 
-// A client that would wait for hours holds its id and its place no longer than its class's usual ones.
-bool readDeadline(string_view text, const RequestClass& terms, TimePoint startedAt, RequestArrived& arrival) {
-    const auto patience = parseInteger<std::uint32_t>(text);
-    if (!patience || *patience == 0) return false;
-    const Duration most = kMaxDeadlines * terms.deadline;
-    arrival.deadline = startedAt + std::min<Duration>(std::chrono::milliseconds(*patience), most);
+bool readTimeout(string_view text, const RequestClass& terms, TimePoint receivedAt, RequestArrived& arrival) {
+    const auto timeoutMs = parseNumber<std::uint32_t>(text);
+    if (!timeoutMs || *timeoutMs == 0) return false;
+    const Duration maxTimeout = kMaxTimeoutInDeadlines * terms.deadline;
+    arrival.deadline = receivedAt + std::min<Duration>(std::chrono::milliseconds(*timeoutMs), maxTimeout);
     return true;
 }
 
-std::shared_ptr<const ForwardedRequest> forward(const HttpRequest& message, const std::string& id,
-                                                bool isSafe) {
+// ---- Whole requests -------------------------------------------------------------------------------
+
+http::verb methodOf(const RequestClass& terms) {
+    return terms.idempotency == Idempotency::safe ? http::verb::get : http::verb::post;
+}
+
+// Reads the headers into `arrival`, whose request class is set. Returns the first part of the request that is
+// invalid, if there is one.
+std::optional<RequestField> readHeaders(const HttpRequest& message, const RequestRules& rules,
+                                        TimePoint receivedAt, RequestArrived& arrival) {
+    const int classIndex = static_cast<int>(arrival.requestClass);
+    const RequestClass& terms = rules.classes[toPosition(arrival.requestClass)];
+    if (findIndex(message["Request-Class"], rules.classNames) != classIndex)
+        return RequestField::requestClass;
+    if (!readPlan(message["X-Contract"], rules, arrival)) return RequestField::plan;
+    if (!readRequestId(message["Request-Id"], arrival)) return RequestField::requestId;
+    if (!readTenant(message["X-Client-Id"], arrival)) return RequestField::tenant;
+    if (!readTimeout(message["Request-Timeout-Ms"], terms, receivedAt, arrival)) return RequestField::timeout;
+    if (!readMetering(message["X-Metering"], rules, arrival)) return RequestField::metering;
+    if (terms.idempotency == Idempotency::withKey && message["Idempotency-Key"].empty())
+        return RequestField::idempotencyKey;
+    if (terms.idempotency == Idempotency::safe && !message.body().empty()) return RequestField::body;
+    arrival.isRetry = message["Client-Retry"] == "1";
+    return std::nullopt;
+}
+
+std::shared_ptr<const ForwardedRequest> makeForwardedRequest(const HttpRequest& message,
+                                                             const RequestId& id) {
     auto forwarded = std::make_shared<ForwardedRequest>();
-    forwarded->method = isSafe ? "GET" : "POST";
+    forwarded->method = toString(http::to_string(message.method()));
     forwarded->target = toString(message.target());
     forwarded->host = toString(message[http::field::host]);
-    forwarded->id = id;
+    forwarded->id = id.value();
     forwarded->idempotencyKey = toString(message["Idempotency-Key"]);
     forwarded->body = message.body();
     return forwarded;
@@ -137,35 +186,19 @@
 }  // namespace
 
 std::variant<ClientRequest, RequestError> parseClientRequest(const HttpRequest& message,
-                                                             const RequestRules& rules, TimePoint startedAt) {
-    const auto path = firstSegment(message.target());
-    if (!path) return RequestError{kBadRequest, "target"};
-    const int pathClass = positionOf(*path, rules.classNames);
-    if (pathClass < 0) return RequestError{kNotFound, "target"};
-    const RequestClass& terms = rules.classes[static_cast<std::size_t>(pathClass)];
-    const bool isSafe = terms.idempotency == Idempotency::safe;
-    if (message.method() != (isSafe ? http::verb::get : http::verb::post))
-        return RequestError{kMethodNotAllowed, "method"};
+                                                             const RequestRules& rules,
+                                                             TimePoint receivedAt) {
+    const auto className = firstPathSegment(message.target());
+    if (!className) return RequestError{http::status::bad_request, RequestField::target};
+    const auto classIndex = findIndex(*className, rules.classNames);
+    if (!classIndex) return RequestError{http::status::not_found, RequestField::target};
     ClientRequest request;
-    RequestArrived& arrival = request.arrival;
-    if (positionOf(message["Request-Class"], rules.classNames) != pathClass)
-        return RequestError{kBadRequest, "Request-Class"};
-    arrival.requestClass = RequestClassIndex{pathClass};
-    const int plan = positionOf(message["X-Contract"], rules.planNames);
-    if (plan < 0) return RequestError{kBadRequest, "X-Contract"};
-    arrival.plan = QuotaPlanIndex{plan};
-    const string_view id = message["Request-Id"];
-    if (id.empty() || id.size() > kMaxIdBytes) return RequestError{kBadRequest, "Request-Id"};
-    if (!readTenant(message["X-Client-Id"], arrival)) return RequestError{kBadRequest, "X-Client-Id"};
-    if (!readDeadline(message["Request-Timeout-Ms"], terms, startedAt, arrival))
-        return RequestError{kBadRequest, "Request-Timeout-Ms"};
-    if (!readMetering(message["X-Metering"], rules, arrival)) return RequestError{kBadRequest, "X-Metering"};
-    if (terms.idempotency == Idempotency::withKey && message["Idempotency-Key"].empty())
-        return RequestError{kBadRequest, "Idempotency-Key"};
-    if (isSafe && !message.body().empty()) return RequestError{kBadRequest, "body"};
-    arrival.request = RequestId(toString(id));
-    arrival.isRetry = message["Client-Retry"] == "1";
-    request.forwarded = forward(message, arrival.request.value(), isSafe);
+    request.arrival.requestClass = RequestClassIndex{*classIndex};
+    if (message.method() != methodOf(rules.classes[toPosition(request.arrival.requestClass)]))
+        return RequestError{http::status::method_not_allowed, RequestField::method};
+    if (const auto invalid = readHeaders(message, rules, receivedAt, request.arrival))
+        return RequestError{http::status::bad_request, *invalid};
+    request.forwarded = makeForwardedRequest(message, request.arrival.request);
     return request;
 }
 
--- a/src/net/client/client_request.h
+++ b/src/net/client/client_request.h
@@ -1,7 +1,8 @@
-// Checks clients' requests, and translates the protocol's words into the module's.
+// Checks clients' requests and translates them into the engine's terms.
 #pragma once
 
 #include <boost/beast/http/message.hpp>
+#include <boost/beast/http/status.hpp>
 #include <boost/beast/http/string_body.hpp>
 #include <memory>
 #include <string>
@@ -16,33 +17,48 @@
 
 using HttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
 
-// What requests are checked against.
+// The settings that requests are checked against.
 struct RequestRules {
     std::vector<RequestClass> classes;
-    std::vector<std::string> classNames;
-    std::vector<std::string> planNames;
+    std::vector<std::string> classNames;  // in the order of `classes`
+    std::vector<std::string> planNames;   // in the order of the plans' indices
     int gatewayCount = 1;
     double maxRequestCost = 1;
 };
 
-// A request that may be served.
+// A valid request.
 struct ClientRequest {
-    RequestArrived arrival;  // its deadline counts from when the request came
+    RequestArrived arrival;
     std::shared_ptr<const ForwardedRequest> forwarded;
 };
 
-// A request that is answered here, with this status.
+// The part of a request that is at fault.
+enum class RequestField {
+    target,
+    method,
+    requestClass,
+    plan,
+    requestId,
+    tenant,
+    timeout,
+    metering,
+    idempotencyKey,
+    body,
+};
+
+// Why a request is invalid, and the status to answer it with.
 struct RequestError {
-    int status = 400;
-    std::string_view field;  // the part of the request that is at fault
+    boost::beast::http::status status = boost::beast::http::status::bad_request;
+    RequestField field = RequestField::target;
 };
 
-// Nothing goes to an endpoint that no client sent in this form: all that is odd is an error. `startedAt` is
-// when the request began to come.
+// Checks a request. Only requests in exactly the protocol's form are valid, as no other may reach an
+// endpoint. `receivedAt` is when the first byte of the request arrived; its deadline counts from there.
 std::variant<ClientRequest, RequestError> parseClientRequest(const HttpRequest& message,
-                                                             const RequestRules& rules, TimePoint startedAt);
+                                                             const RequestRules& rules, TimePoint receivedAt);
 
-// Where the body ends depends on who reads the head: it could hide another request.
+// Whether readers of the header could disagree on where the body ends, so that the body could hide another
+// request (request smuggling).
 bool hasAmbiguousLength(const HttpRequest& message);
 
 }  // namespace gateway::net
--- /dev/null
+++ b/src/net/client/client_request_reader.cpp
@@ -0,0 +1,64 @@
+#include "net/client/client_request_reader.h"
+
+#include "net/transport/http_limits.h"
+
+namespace gateway::net {
+
+namespace http = boost::beast::http;
+using boost::system::error_code;
+
+namespace {
+
+using Parser = http::request_parser<http::string_body>;
+
+// Returns the status to reject the request with, if it can't be read any further. `ec` is the parser's
+// result.
+std::optional<http::status> findRejection(const Parser& parser, const error_code& ec) {
+    if (announcesBodyOver(parser, kMaxBodyBytes)) return http::status::payload_too_large;
+    if (parser.is_header_done() && hasAmbiguousLength(parser.get())) return http::status::bad_request;
+    if (!ec || ec == http::error::need_more) return std::nullopt;
+    if (ec == http::error::body_limit) return http::status::payload_too_large;
+    if (ec == http::error::header_limit || ec == http::error::buffer_overflow)
+        return http::status::request_header_fields_too_large;
+    return http::status::bad_request;
+}
+
+}  // namespace
+
+ClientRequestReader::Progress ClientRequestReader::read(boost::beast::flat_buffer& input, TimePoint now) {
+    if (!isPartial_) {
+        isPartial_ = true;
+        receivedAt_ = arrivals_.takeArrivalOfNext();
+        startedAt_ = now;
+    }
+    error_code ec;
+    const std::size_t used = parser_->put(input.data(), ec);
+    arrivals_.consume(used);
+    input.consume(used);
+    if (const auto rejection = findRejection(*parser_, ec)) {
+        rejection_ = *rejection;
+        return Progress::rejected;
+    }
+    if (parser_->is_done()) return Progress::complete;
+    // Beast asks for more behind a complete header only where the body is chunked.
+    expectsContinue_ = ec == http::error::need_more && parser_->is_header_done() &&
+                       boost::beast::iequals(parser_->get()[http::field::expect], "100-continue");
+    return Progress::incomplete;
+}
+
+HttpRequest ClientRequestReader::takeRequest() {
+    HttpRequest message = parser_->release();
+    reset();
+    return message;
+}
+
+void ClientRequestReader::reset() {
+    parser_.emplace();
+    parser_->body_limit(kMaxBodyBytes);
+    parser_->header_limit(kMaxHeaderBytes);
+    parser_->eager(true);
+    isPartial_ = false;
+    expectsContinue_ = false;
+}
+
+}  // namespace gateway::net
--- a/src/net/client/client_response.h
+++ b/src/net/client/client_response.h
@@ -1,6 +1,7 @@
-// What clients are answered, and its form on the wire.
+// Responses to clients, and their form on the wire.
 #pragma once
 
+#include <boost/beast/http/status.hpp>
 #include <string>
 #include <string_view>
 
@@ -8,20 +9,18 @@
 
 namespace gateway::net {
 
+// A response to a client. The texts must outlive it.
 struct ClientResponse {
-    int status = 200;
-    Duration retryAfter{};  // when to come back; 0: no advice
+    boost::beast::http::status status = boost::beast::http::status::ok;
+    Duration retryAfter{};  // when the client should come back; 0: no advice
     std::string_view contentType;
     std::string_view body;
 };
 
-// The reason phrase of a status, "Unknown" for one that is never sent.
-std::string_view reasonPhrase(int status);
+// Returns a response whose body is the reason phrase of its status.
+ClientResponse plainResponse(boost::beast::http::status status);
 
-// A response that says nothing but its status.
-ClientResponse plainResponse(int status);
-
-// Appends the response as HTTP/1.1. `keepAlive`: the connection stays open behind it.
+// Appends the response as an HTTP/1.1 message. `keepAlive`: the connection stays open after it.
 void appendResponse(std::string& text, const ClientResponse& response, bool keepAlive);
 
 }  // namespace gateway::net
--- a/src/net/client/client_server.cpp
+++ b/src/net/client/client_server.cpp
@@ -5,182 +5,194 @@
 
 namespace gateway::net {
 
+namespace http = boost::beast::http;
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
 namespace {
 
 constexpr int kAcceptBacklog = 1024;
-constexpr Duration kAcceptPause = milliseconds(50);  // when the process is out of descriptors or memory
+constexpr Duration kAcceptPause = milliseconds(50);  // after a failed accept
 constexpr Duration kSweepPeriod = milliseconds(250);
 constexpr Duration kDrainSweepPeriod = milliseconds(50);
-constexpr Duration kFirstRequestGrace = milliseconds(150);  // on a new connection, while it drains
-constexpr Duration kMaxStuckTimeDraining = std::chrono::seconds(1);
-constexpr int kRequestTimeout = 408;
+constexpr Duration kFirstRequestGrace = milliseconds(150);  // for a new connection, while draining
+constexpr Duration kMaxStuckTimeWhileDraining = std::chrono::seconds(1);
 
 }  // namespace
 
-ClientServer::ClientServer(boost::asio::io_context& io, TimerQueue& timers, const Clock& clock,
+ClientServer::ClientServer(boost::asio::io_context& ioContext, TimerQueue& timers, const Clock& clock,
                            RequestRules rules, const Limits& limits, Hooks hooks)
-    : io_(io),
+    : ioContext_(ioContext),
       timers_(timers),
       clock_(clock),
       rules_(std::move(rules)),
       limits_(limits),
       hooks_(std::move(hooks)),
-      acceptor_(io) {}
+      acceptor_(ioContext) {}
+
+// ---- Accepting ------------------------------------------------------------------------------------
 
 void ClientServer::listen(const tcp::endpoint& address) {
     acceptor_.open(address.protocol());
-    acceptor_.set_option(tcp::acceptor::reuse_address(true));  // a restart comes back under its address
+    acceptor_.set_option(tcp::acceptor::reuse_address(true));  // a restarted process binds the same address
     acceptor_.bind(address);
     acceptor_.listen(kAcceptBacklog);
     acceptor_.non_blocking(true);
-    listening_ = true;
+    isListening_ = true;
     accept();
     timers_.after(kSweepPeriod, [this] { endStuckSessions(); });
 }
 
 void ClientServer::accept() {
-    if (accepting_ || !listening_) return;
-    // At the most connections the one idle the longest gives way; if all are busy the queue waits.
-    if (sessions_.size() >= limits_.connections && !endIdleSession()) return;
-    accepting_ = true;
-    acceptor_.async_accept([this](const error_code& ec, tcp::socket socket) {
-        accepting_ = false;
-        if (!listening_) return;
-        if (ec) {
-            // Out of descriptors or memory: pauses, since the queue would report itself without end.
-            endIdleSession();
-            timers_.after(kAcceptPause, [this] { accept(); });
-            return;
-        }
-        beginSession(std::move(socket));
-        accept();
-    });
+    if (isAccepting_ || !isListening_) return;
+    if (sessions_.size() >= limits_.connections) {
+        // A new client takes the place of an idle one. If none is idle, it waits in the accept queue.
+        const bool hasEndedOne = endIdleSession();
+        if (!hasEndedOne) return;
+    }
+    isAccepting_ = true;
+    acceptor_.async_accept(
+        [this](const error_code& ec, tcp::socket socket) { onAccepted(ec, std::move(socket)); });
 }
 
-void ClientServer::beginSession(tcp::socket&& socket) {
+void ClientServer::onAccepted(const error_code& ec, tcp::socket&& socket) {
+    isAccepting_ = false;
+    if (!isListening_) return;
+    if (ec) {
+        // Out of descriptors or memory. Without a pause the accept queue would cause a busy loop.
+        endIdleSession();
+        timers_.after(kAcceptPause, [this] { accept(); });
+        return;
+    }
+    startSession(std::move(socket));
+    accept();
+}
+
+void ClientServer::startSession(tcp::socket&& socket) {
     const auto session = std::make_shared<ClientSession>(
-        std::move(socket), static_cast<ClientSession::Owner&>(*this), timers_, clock_);
-    session->position = sessions_.insert(sessions_.end(), session);
+        std::move(socket), static_cast<ClientSessionObserver&>(*this), timers_, clock_);
+    session->setPosition(sessions_.insert(sessions_.end(), session));
     session->start();
 }
 
 bool ClientServer::endIdleSession() {
     for (const SessionPtr& session : sessions_) {
         if (!session->isIdle() || session->hasInput()) continue;
-        const SessionPtr held = session;  // leaving takes it out of the list
-        held->leave();
+        const SessionPtr ended = session;  // keeps it alive: end() removes it from the list
+        ended->end();
         return true;
     }
     return false;
 }
 
-// What stands in the queue would take the descriptor at once: it is looked at again from the loop.
+// Accepts the next client from the event loop, and not at once: it would take the descriptor that is being
+// freed for another purpose.
 bool ClientServer::evictIdleClient() {
-    const bool wasAccepting = std::exchange(accepting_, true);
+    const bool wasAccepting = std::exchange(isAccepting_, true);
     const bool evicted = endIdleSession();
-    accepting_ = wasAccepting;
+    isAccepting_ = wasAccepting;
     if (!wasAccepting) timers_.after(Duration::zero(), [this] { accept(); });
     return evicted;
 }
 
+// ---- Sessions -------------------------------------------------------------------------------------
+
 void ClientServer::answer(ClientSession& session, const ClientResponse& response) {
     session.answer(response);
-    accept();  // it may have waited for a connection that is not busy
+    accept();  // accepting may have stopped because no session was idle
 }
 
-bool ClientServer::hasDisconnected(ClientSession& session) {
+bool ClientServer::endIfDisconnected(ClientSession& session) {
     if (!session.peerHasClosed()) return false;
-    session.leave();
+    session.end();
     return true;
 }
 
-// ---- What sessions report -------------------------------------------------------------------------
-
-bool ClientServer::onRequest(ClientRequest&& request, const SessionPtr& session) {
-    return hooks_.onRequest(std::move(request), session);
+bool ClientServer::startRequest(ClientRequest&& request, const SessionPtr& session) {
+    return hooks_.startRequest(std::move(request), session);
 }
 
 void ClientServer::onActive(ClientSession& session) {
-    sessions_.splice(sessions_.end(), sessions_, session.position);
+    sessions_.splice(sessions_.end(), sessions_, session.position());
 }
 
 void ClientServer::onEnded(ClientSession& session) {
-    sessions_.erase(session.position);
-    if (listening_) accept();
-    if (!listening_ && sessions_.empty()) reportIfDrained();
+    sessions_.erase(session.position());
+    if (isListening_)
+        accept();
+    else if (sessions_.empty())
+        reportDrained();
 }
 
-// ---- Sessions that hold a place for nothing -------------------------------------------------------
-
-// Ends connections whose request does not come, or does not come whole, however slowly it dribbles in, or
-// whose client takes no response: they would hold a descriptor for ever.
+// Ends sessions whose client does not send a request, or a complete one, or does not receive a response in
+// time: each would hold a descriptor for good.
 void ClientServer::endStuckSessions() {
-    if (draining_) return;
+    if (isDraining_) return;
     std::vector<SessionPtr> stuck;
-    std::vector<SessionPtr> silent;
+    std::vector<SessionPtr> unused;
     const auto now = steady_clock::now();
     for (const SessionPtr& session : sessions_) {
-        const Duration most = session->allWritten() ? limits_.maxPartialTime : limits_.maxUndeliveredTime;
-        if (session->stuckFor(clock_.now()) > most) stuck.push_back(session);
-        if (now - session->activeAt() > limits_.maxPartialTime && session->isSilent())
-            silent.push_back(session);
+        const Duration maxTime = session->allWritten() ? limits_.maxPartialTime : limits_.maxUndeliveredTime;
+        if (session->stuckFor(clock_.now()) > maxTime) stuck.push_back(session);
+        if (now - session->activeAt() > limits_.maxPartialTime && session->hasExchangedNothing())
+            unused.push_back(session);
     }
-    for (const SessionPtr& session : silent) session->leave();
+    for (const SessionPtr& session : unused) session->end();
     for (const SessionPtr& session : stuck) {
         if (session->allWritten())
-            session->answerAndClose(kRequestTimeout);
+            session->answerAndClose(http::status::request_timeout);
         else
-            session->leave();
+            session->end();
     }
     timers_.after(kSweepPeriod, [this] { endStuckSessions(); });
 }
 
 // ---- Shutdown -------------------------------------------------------------------------------------
 
-// Idle connections end while new ones are still taken: a client whose request crosses such an end sends it
-// once more, and finds somebody. All have ended, or carry a request, before what still comes might be killed
-// with it.
+// Idle connections close while the listener is still open: a client whose request crosses the close sends it
+// again on a new connection, which is accepted.
 void ClientServer::drain(std::function<void()> done) {
-    if (draining_) return;
-    draining_ = true;
+    if (isDraining_) return;
+    isDraining_ = true;
     onDrained_ = std::move(done);
     timers_.after(limits_.idleGracePeriod, [this] { endIdleSessionsWhileDraining(); });
     timers_.after(limits_.listenAfterShutdown, [this] { stopListening(); });
 }
 
-// What stands in the queue has been taken by this machine: it would be lost with the listener.
+// Serves what is in the accept queue: closing the listener would reset those connections.
 void ClientServer::stopListening() {
-    for (error_code ec; !ec;) {
-        tcp::socket socket(io_);
+    while (true) {
+        tcp::socket socket(ioContext_);
+        error_code ec;
         acceptor_.accept(socket, ec);
-        if (!ec) beginSession(std::move(socket));
+        if (ec) break;
+        startSession(std::move(socket));
     }
-    listening_ = false;
+    isListening_ = false;
     error_code ec;
     acceptor_.close(ec);
 }
 
-// Closes connections that stand idle, but none on which a request may just be coming.
+// Spares new connections for a while, as their first request may be on its way.
 void ClientServer::endIdleSessionsWhileDraining() {
     const auto now = steady_clock::now();
     std::vector<SessionPtr> ended;
     for (const SessionPtr& session : sessions_) {
-        const bool settled = !session->isFresh() || now - session->activeAt() > kFirstRequestGrace;
-        if (session->isIdle() && settled && !session->hasInput()) ended.push_back(session);
-        if (session->stuckFor(clock_.now()) > kMaxStuckTimeDraining) ended.push_back(session);
+        const bool isNew = session->isFresh() && now - session->activeAt() <= kFirstRequestGrace;
+        if (session->isIdle() && !isNew && !session->hasInput()) ended.push_back(session);
+        if (session->stuckFor(clock_.now()) > kMaxStuckTimeWhileDraining) ended.push_back(session);
     }
-    for (const SessionPtr& session : ended) session->leave();
-    if (listening_ || !sessions_.empty())
+    for (const SessionPtr& session : ended) session->end();
+    if (isListening_ || !sessions_.empty())
         timers_.after(kDrainSweepPeriod, [this] { endIdleSessionsWhileDraining(); });
     else
-        reportIfDrained();
+        reportDrained();
 }
 
-void ClientServer::reportIfDrained() {
-    if (draining_ && onDrained_) std::exchange(onDrained_, nullptr)();
+void ClientServer::reportDrained() {
+    if (!isDraining_ || !onDrained_) return;
+    const std::function<void()> report = std::exchange(onDrained_, nullptr);
+    report();
 }
 
 }  // namespace gateway::net
--- a/src/net/client/client_session.cpp
+++ b/src/net/client/client_session.cpp
@@ -2,8 +2,6 @@
 
 #include <utility>
 
-#include "net/transport/http_limits.h"
-
 namespace gateway::net {
 
 namespace http = boost::beast::http;
@@ -11,180 +9,163 @@
 
 namespace {
 
-constexpr std::size_t kMaxPipelinedBytes = 96UL * 1024;    // kept while an answer is awaited
-constexpr Duration kLingerTime = std::chrono::seconds(1);  // for a client to take in a last response
+constexpr std::size_t kMaxPipelinedBytes = 96UL * 1024;    // kept while a request is in flight
+constexpr Duration kLingerTime = std::chrono::seconds(1);  // for the client to receive the last response
 constexpr std::string_view kReadinessTarget = "/-/ready";
 
-constexpr int kOk = 200;
-constexpr int kBadRequest = 400;
-constexpr int kMethodNotAllowed = 405;
-constexpr int kPayloadTooLarge = 413;
-constexpr int kHeadersTooLarge = 431;
-constexpr int kUnavailable = 503;
-
 }  // namespace
 
-ClientSession::ClientSession(tcp::socket&& socket, Owner& owner, TimerQueue& timers, const Clock& clock)
+ClientSession::ClientSession(tcp::socket&& socket, ClientSessionObserver& observer, TimerQueue& timers,
+                             const Clock& clock)
     : TcpConnection(std::move(socket)),
-      owner_(owner),
+      observer_(observer),
       timers_(timers),
       clock_(clock),
-      acceptedAt_(clock.now()) {
-    resetParser();
-}
+      acceptedAt_(clock.now()) {}
 
 Duration ClientSession::stuckFor(TimePoint now) const {
-    if (busy_ || lingering_) return {};
-    if (!allWritten()) return now - answeredAt_;
-    return partial_ ? now - (isFresh() ? acceptedAt_ : begunAt_) : Duration{};
+    if (isBusy_ || isLingering_) return {};
+    if (!allWritten()) return now - blockedAt_;
+    if (!reader_.isPartial()) return {};
+    return now - (isFresh() ? acceptedAt_ : reader_.startedAt());
 }
 
 // ---- Responses ------------------------------------------------------------------------------------
 
 void ClientSession::answer(const ClientResponse& response) {
-    busy_ = false;
+    isBusy_ = false;
     ++responses_;
-    const bool stays = staysOpen();
+    const bool staysOpen = shouldStayOpen();
     output_.clear();
-    appendResponse(output_, response, stays);
+    appendResponse(output_, response, staysOpen);
     send(output_);
     activeAt_ = steady_clock::now();
-    if (!allWritten()) answeredAt_ = clock_.now();
-    if (!stays) return linger();
-    if (input().size() > 0) {  // the next one came early; not from within the answer to this one
-        timers_.after(Duration::zero(), [weak = weak_from_this()] {
-            if (const auto session = weak.lock()) static_cast<ClientSession&>(*session).readNext();
-        });
+    if (!allWritten()) blockedAt_ = clock_.now();
+    if (!staysOpen) {
+        linger();
+        return;
     }
+    if (input().size() == 0) return;
+    // The next request was pipelined. It is read from the event loop, not from within this answer.
+    timers_.after(Duration::zero(), [weak = weak_from_this()] {
+        if (const auto session = weak.lock()) static_cast<ClientSession&>(*session).readNext();
+    });
 }
 
-// What has come by now is answered first, also while it drains: it would be lost with the connection.
-bool ClientSession::staysOpen() {
+// Requests that have been received are answered before the connection closes, also while the gateway drains:
+// closing would lose them.
+bool ClientSession::shouldStayOpen() {
     if (!keepAlive_) return false;
     if (input().size() > 0) return true;
     if (dropsInput()) return false;
-    return !owner_.isDraining() || hasInput();
+    return !observer_.isDraining() || hasInput();
 }
 
-void ClientSession::answerAndClose(int status) {
+void ClientSession::answerAndClose(http::status status) {
     keepAlive_ = false;
     answer(plainResponse(status));
 }
 
-void ClientSession::answerError(int status) {
-    if (status == kBadRequest) keepAlive_ = false;
+void ClientSession::answerInvalid(http::status status) {
+    if (status == http::status::bad_request) keepAlive_ = false;
     answer(plainResponse(status));
 }
 
-// Sends no more and waits for the client's end, so that no reset overtakes the last response.
+// Closes the sending side only and waits for the client to close: a reset could overtake the last response.
 void ClientSession::linger() {
-    lingering_ = true;
+    isLingering_ = true;
     if (allWritten()) shutdownSend();
     discardInput();
     timers_.after(kLingerTime, [weak = weak_from_this()] {
         const auto session = weak.lock();
-        if (session && session->isOpen()) static_cast<ClientSession&>(*session).leave();
+        if (session && session->isOpen()) static_cast<ClientSession&>(*session).end();
     });
 }
 
 void ClientSession::onSendDrained() {
-    if (lingering_) shutdownSend();
+    if (isLingering_) shutdownSend();
 }
 
-void ClientSession::leave() {
-    if (std::exchange(left_, true)) return;  // making room for another may have ended it meanwhile
-    if (busy_) owner_.onDisconnect(request_);
-    busy_ = false;
+void ClientSession::end() {
+    if (hasEnded_) return;
+    hasEnded_ = true;
+    if (isBusy_) observer_.onDisconnect(request_);
+    isBusy_ = false;
     close();
-    owner_.onEnded(*this);
+    observer_.onEnded(*this);
 }
 
 // ---- Requests -------------------------------------------------------------------------------------
 
-void ClientSession::resetParser() {
-    parser_.emplace();
-    parser_->body_limit(kMaxBodyBytes);
-    parser_->header_limit(kMaxHeaderBytes);
-    parser_->eager(true);
-    partial_ = false;
-    continued_ = false;
-}
-
 void ClientSession::onReceived() {
     activeAt_ = steady_clock::now();
-    arrivals_.noteArrival(input().size(), clock_.now());
-    if (!busy_) return readNext();
-    // Read on to notice that the client leaves. What it has sent ahead so far will be answered, no more.
+    reader_.noteReceived(input().size(), clock_.now());
+    if (!isBusy_) {
+        readNext();
+        return;
+    }
+    // Later bytes are dropped, not left unread, so that the client's close is still noticed.
     if (input().size() > kMaxPipelinedBytes) dropFurtherInput();
 }
 
 void ClientSession::readNext() {
-    if (!isOpen() || busy_ || lingering_) return;
-    owner_.onActive(*this);
+    if (!isOpen() || isBusy_ || isLingering_) return;
+    observer_.onActive(*this);
     if (input().size() == 0) return;
-    if (!partial_) beginRequest();
-    error_code ec;
-    if (!takeBytes(ec)) return;
-    if (ec == http::error::need_more) return awaitRest();
-    if (ec == http::error::body_limit) return answerAndClose(kPayloadTooLarge);
-    if (ec == http::error::header_limit || ec == http::error::buffer_overflow)
-        return answerAndClose(kHeadersTooLarge);
-    if (ec) return answerAndClose(kBadRequest);
-    if (!parser_->is_done()) {
-        if (dropsInput()) linger();  // its rest was dropped
-        return;
+    switch (reader_.read(input(), clock_.now())) {
+        case ClientRequestReader::Progress::incomplete:
+            continueIncompleteRequest();
+            break;
+        case ClientRequestReader::Progress::rejected:
+            answerAndClose(reader_.rejection());
+            break;
+        case ClientRequestReader::Progress::complete: {
+            const HttpRequest message = reader_.takeRequest();
+            keepAlive_ = message.keep_alive();
+            hasSentContinue_ = false;
+            isBusy_ = true;
+            serve(message);
+            break;
+        }
     }
-    const HttpRequest message = parser_->release();
-    keepAlive_ = message.keep_alive();
-    resetParser();
-    busy_ = true;
-    serve(message);
 }
 
-void ClientSession::beginRequest() {
-    startedAt_ = arrivals_.arrivalOfNext();
-    begunAt_ = clock_.now();
-    partial_ = true;
-}
-
-// False where the request was answered as one that can't be read.
-bool ClientSession::takeBytes(error_code& ec) {
-    const std::size_t used = parser_->put(input().data(), ec);
-    arrivals_.consume(used);
-    input().consume(used);
-    if (announcesBodyOver(*parser_, kMaxBodyBytes)) {
-        answerAndClose(kPayloadTooLarge);
-        return false;
-    }
-    if (parser_->is_header_done() && hasAmbiguousLength(parser_->get())) {
-        answerAndClose(kBadRequest);
-        return false;
+void ClientSession::continueIncompleteRequest() {
+    if (dropsInput()) {  // the rest of the request was dropped
+        linger();
+        return;
     }
-    return true;
-}
-
-void ClientSession::awaitRest() {
-    if (dropsInput()) return linger();  // its rest was dropped
-    if (!parser_->is_header_done() || continued_) return;
-    if (!boost::beast::iequals(parser_->get()[http::field::expect], "100-continue")) return;
-    continued_ = true;
+    if (hasSentContinue_ || !reader_.expectsContinue()) return;
+    hasSentContinue_ = true;
     send("HTTP/1.1 100 Continue\r\n\r\n");
 }
 
 void ClientSession::serve(const HttpRequest& message) {
     const auto target = message.target();
-    if (std::string_view(target.data(), target.size()) == kReadinessTarget) return answerReadiness(message);
-    auto parsed = parseClientRequest(message, owner_.rules(), startedAt_);
-    if (const auto* error = std::get_if<RequestError>(&parsed)) return answerError(error->status);
+    if (std::string_view(target.data(), target.size()) == kReadinessTarget) {
+        answerReadiness(message);
+        return;
+    }
+    auto parsed = parseClientRequest(message, observer_.rules(), reader_.receivedAt());
+    if (const auto* error = std::get_if<RequestError>(&parsed)) {
+        answerInvalid(error->status);
+        return;
+    }
     auto& request = std::get<ClientRequest>(parsed);
     request_ = request.arrival.request;
-    if (!owner_.onRequest(std::move(request), self())) answerError(kBadRequest);
+    const bool started = observer_.startRequest(std::move(request), self());
+    if (!started) answerInvalid(http::status::bad_request);
 }
 
 void ClientSession::answerReadiness(const HttpRequest& message) {
-    if (message.method() != http::verb::get) return answerError(kMethodNotAllowed);
-    const bool ready = owner_.isReady() && !owner_.isDraining();
-    answer({ready ? kOk : kUnavailable, {}, "text/plain", ready ? "ready\n" : "not ready\n"});
+    if (message.method() != http::verb::get) {
+        answerInvalid(http::status::method_not_allowed);
+        return;
+    }
+    if (observer_.isReady() && !observer_.isDraining())
+        answer({http::status::ok, {}, "text/plain", "ready\n"});
+    else
+        answer({http::status::service_unavailable, {}, "text/plain", "not ready\n"});
 }
 
 }  // namespace gateway::net
--- a/src/net/client/client_session.h
+++ b/src/net/client/client_session.h
@@ -1,117 +1,116 @@
-// One connection of a client: reads its requests one at a time and writes one response to each.
+// One connection of a client.
 #pragma once
 
-#include <boost/beast/http/parser.hpp>
-#include <boost/beast/http/string_body.hpp>
+#include <boost/beast/http/status.hpp>
 #include <chrono>
 #include <list>
 #include <memory>
-#include <optional>
 #include <string>
 
-#include "net/client/arrival_log.h"
 #include "net/client/client_request.h"
+#include "net/client/client_request_reader.h"
 #include "net/client/client_response.h"
 #include "net/transport/clock.h"
 #include "net/transport/tcp_connection.h"
 
 namespace gateway::net {
 
+class ClientSession;
+
+// Receives the events of client sessions, and answers what a session needs to know of the gateway.
+class ClientSessionObserver {
+public:
+    virtual ~ClientSessionObserver() = default;
+
+    virtual const RequestRules& rules() const = 0;
+    // The gateway has an endpoint list and may be sent requests.
+    virtual bool isReady() const = 0;
+    // The gateway is shutting down: it answers requests and closes idle connections.
+    virtual bool isDraining() const = 0;
+
+    // Takes over a request, and answers it later by ClientSession::answer(), possibly before this returns.
+    // Returns false, and does nothing, if a request with the same id is in flight.
+    virtual bool startRequest(ClientRequest&& request, const std::shared_ptr<ClientSession>& session) = 0;
+    // The session ended before its request was answered.
+    virtual void onDisconnect(const RequestId& request) = 0;
+    // The session is about to read a request, or waits for one.
+    virtual void onActive(ClientSession& session) = 0;
+    // The session has ended. Called once.
+    virtual void onEnded(ClientSession& session) = 0;
+};
+
+// Reads a client's requests one at a time and writes one response to each. Answers malformed requests and
+// readiness checks itself. While a request is in flight it receives pipelined bytes, up to a limit, and so
+// notices that the client closes the connection.
 class ClientSession final : public TcpConnection {
 public:
     using Position = std::list<std::shared_ptr<ClientSession>>::iterator;
 
-    // What a session needs of the server that it belongs to.
-    class Owner {
-    public:
-        Owner() = default;
-        Owner(const Owner&) = delete;
-        Owner& operator=(const Owner&) = delete;
-        virtual ~Owner() = default;
-
-        virtual const RequestRules& rules() const = 0;
-        virtual bool isReady() const = 0;
-        virtual bool isDraining() const = 0;
-        // Hands on a request; false where its id is in flight already.
-        virtual bool onRequest(ClientRequest&& request, const std::shared_ptr<ClientSession>& session) = 0;
-        // The client left before it had an answer to its request.
-        virtual void onDisconnect(const RequestId& request) = 0;
-        // The session was active: it is the last one to be ended for want of room.
-        virtual void onActive(ClientSession& session) = 0;
-        // The session is over.
-        virtual void onEnded(ClientSession& session) = 0;
-    };
-
-    // `owner`, `timers` and `clock` must outlive the session.
-    ClientSession(tcp::socket&& socket, Owner& owner, TimerQueue& timers, const Clock& clock);
-
-    // Where the owner keeps it.
-    Position position;
-
-    // Answers the request in hand.
+    // `observer`, `timers` and `clock` must outlive the session.
+    ClientSession(tcp::socket&& socket, ClientSessionObserver& observer, TimerQueue& timers,
+                  const Clock& clock);
+
+    // The session's place in its owner's list. For the owner alone.
+    void setPosition(Position position) { position_ = position; }
+    Position position() const { return position_; }
+
+    // Answers the request in flight.
     void answer(const ClientResponse& response);
 
-    // Answers with this status and ends the connection.
-    void answerAndClose(int status);
+    // Answers with this status and closes the connection.
+    void answerAndClose(boost::beast::http::status status);
 
-    // Ends the session: its client left, or is made to.
-    void leave();
+    // Ends the session at once, unless it has ended already.
+    void end();
 
-    bool isIdle() const { return !busy_ && !lingering_ && !partial_ && allWritten(); }
+    // No request is in flight, being received or being answered.
+    bool isIdle() const { return !isBusy_ && !isLingering_ && !reader_.isPartial() && allWritten(); }
 
-    // No response was sent yet.
+    // No response has been sent.
     bool isFresh() const { return responses_ == 0; }
 
-    // It has never sent a byte, or part of a request and no more: such clients wait for nothing.
-    bool isSilent() { return isFresh() && isIdle() && !hasInput(); }
+    // No response has been sent and no byte received.
+    bool hasExchangedNothing() { return isFresh() && isIdle() && !hasInput(); }
 
-    // How long it is that a request is coming, the first one since the connection came, or that a response
-    // waits to be taken by the client. 0 where neither is so.
+    // How long the client has taken so far to send a request completely, or to receive a response. The time
+    // for a first request starts with the connection. 0 if neither is going on.
     Duration stuckFor(TimePoint now) const;
 
-    // When it was last heard of, or answered.
+    // When bytes were last received or a response was sent.
     std::chrono::steady_clock::time_point activeAt() const { return activeAt_; }
 
 private:
-    using Parser = boost::beast::http::request_parser<boost::beast::http::string_body>;
-
     void onReceived() override;
     void onSendDrained() override;
-    void onClosed() override { leave(); }
+    void onClosed() override { end(); }
 
-    void resetParser();
     void readNext();
-    void beginRequest();
-    bool takeBytes(error_code& ec);
-    void awaitRest();
+    void continueIncompleteRequest();
     void serve(const HttpRequest& message);
     void answerReadiness(const HttpRequest& message);
-    void answerError(int status);
-    bool staysOpen();
+    void answerInvalid(boost::beast::http::status status);
+    bool shouldStayOpen();
     void linger();
     std::shared_ptr<ClientSession> self() {
         return std::static_pointer_cast<ClientSession>(shared_from_this());
     }
 
-    Owner& owner_;
+    ClientSessionObserver& observer_;
     TimerQueue& timers_;
     const Clock& clock_;
-    std::optional<Parser> parser_;
-    ArrivalLog arrivals_;
-    RequestId request_;  // in hand
-    std::string output_;
+    Position position_{};
+    ClientRequestReader reader_;
+    RequestId request_;   // in flight, while isBusy_
+    std::string output_;  // kept for its capacity
     TimePoint acceptedAt_;
-    TimePoint startedAt_{};   // when the request in hand began to come
-    TimePoint begunAt_{};     // when it was turned to
-    TimePoint answeredAt_{};  // when a response that had to wait was written
+    TimePoint blockedAt_{};  // when a response was sent that the kernel did not take completely
     std::chrono::steady_clock::time_point activeAt_ = std::chrono::steady_clock::now();
     std::uint64_t responses_ = 0;
-    bool left_ = false;
-    bool busy_ = false;       // a request waits for its answer
-    bool lingering_ = false;  // sends no more, and waits for the client's end
-    bool partial_ = false;    // a request is coming
-    bool continued_ = false;  // and got 100 Continue
-    bool keepAlive_ = true;
+    bool hasEnded_ = false;
+    bool isBusy_ = false;       // a request is in flight
+    bool isLingering_ = false;  // the last response was sent; the client's close is awaited
+    bool hasSentContinue_ = false;
+    bool keepAlive_ = true;  // the client wants to send more requests
 };
 
 }  // namespace gateway::net
--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -18,9 +18,7 @@
 constexpr Duration kMaxReconcileTime = std::chrono::seconds(1);
 constexpr Duration kReconcilePollInterval = std::chrono::milliseconds(20);
 
-constexpr int kOk = 200;
-constexpr int kTooManyRequests = 429;
-constexpr int kBadGateway = 502;
+using boost::beast::http::status;
 
 UpstreamPool::Limits upstreamLimits(const Config& config, ReclaimDescriptor reclaimDescriptor) {
     UpstreamPool::Limits limits;
@@ -208,7 +206,7 @@
     ended.trueCost = result.trueCost;
     ended.closed = served || request.client == nullptr;
     if (served)
-        answer(attempt.request, {kOk, {}, result.contentType, result.body});  // may end `request`
+        answer(attempt.request, {status::ok, {}, result.contentType, result.body});  // may end `request`
     else
         forgetIfDone(attempt.request);
     dispatch(std::move(ended));
@@ -227,7 +225,7 @@
     const auto found = requests_.find(id);
     if (found == requests_.end()) return false;
     const auto client = found->second.client;
-    return client && !ClientServer::hasDisconnected(*client);
+    return client && !ClientServer::endIfDisconnected(*client);
 }
 
 // Actions can cause events at once; those wait here until the actions in hand are done.
@@ -275,11 +273,11 @@
 }
 
 void GatewayServer::execute(const RejectRequest& action) {
-    answer(action.request, {kTooManyRequests, action.retryAfter, "text/plain", "refused\n"});
+    answer(action.request, {status::too_many_requests, action.retryAfter, "text/plain", "refused\n"});
 }
 
 void GatewayServer::execute(const FailRequest& action) {
-    answer(action.request, {kBadGateway, {}, "text/plain", "failed\n"});
+    answer(action.request, {status::bad_gateway, {}, "text/plain", "failed\n"});
 }
 
 void GatewayServer::execute(const AddToCounter& action) {
