--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -28,7 +28,7 @@
 }
 
 ClientResponse textResponse(http::status status, Duration retryAfter, std::string_view body) {
-    return {static_cast<int>(status), retryAfter, "text/plain", body};
+    return {status, retryAfter, "text/plain", body};
 }
 
 }  // namespace
@@ -175,7 +175,7 @@
     const bool isServed = result.outcome == Outcome::ok && isClientWaiting;
     if (isServed)
         answer(attempt->request,
-               {static_cast<int>(http::status::ok), Duration::zero(), result.contentType, result.body});
+               {http::status::ok, Duration::zero(), result.contentType, result.body});
     else
         requests_.removeIfComplete(attempt->request);
     dispatcher_.dispatch(toEvent(*attempt, result, isServed || !isClientWaiting));
@@ -225,7 +225,7 @@
 // Called before bytes of a request are sent. The client may have closed its connection without that having
 // been read: its end is found behind its request, or after other work that kept this gateway busy.
 void GatewayServer::disconnectIfClientClosed(const RequestId& id) {
-    if (const auto client = requests_.client(id)) ClientServer::hasDisconnected(*client);
+    if (const auto client = requests_.client(id)) ClientServer::endIfDisconnected(*client);
 }
 
 void GatewayServer::answer(const RequestId& id, const ClientResponse& response) {
