--- a/src/decision/quota/counter_ledger.cpp
+++ b/src/decision/quota/counter_ledger.cpp
@@ -8,12 +8,14 @@
 namespace {
 
 constexpr double kFlushDelaySliceShare = 0.1;
-// Least shortage of a total that is taken for lost counts.
+constexpr double kDebtReadUtilization = 0.5;
+
+// A total that is short of what was posted by less than this is not taken for lost counts.
 constexpr double kMinLostBurstShare = 0.5;  // with reconciliation
 constexpr double kMinLostCost = 0.5;        // without
-constexpr double kDebtReadUtilization = 0.5;
-constexpr double kOpeningCostMargin =
-    0.5;  // by which the total of the call that opens a slice may exceed its charge
+
+// The total of the call that opens a slice exceeds its charge by no more than this.
+constexpr double kOpeningCostMargin = 0.5;
 
 // The counter has most likely counted a call without a reply or with a malformed one: a congested counter
 // still works on calls that nobody waits for. Posting such a call again could exhaust the tenant's quota. If
@@ -22,6 +24,15 @@
     return outcome == Outcome::ok || outcome == Outcome::timedOut || outcome == Outcome::reset;
 }
 
+// Records in the request's charge how the call that posted it ended.
+void recordChargeReply(Request& request, Outcome outcome) {
+    QuotaCharge& charge = request.charge;
+    charge.posted = wasCounted(outcome);
+    charge.confirmed = outcome == Outcome::ok;
+    // A call that was not counted covers no unsampled requests: only its own cost is charged.
+    if (!charge.posted) charge.amount = request.arrival.cost;
+}
+
 }  // namespace
 
 // ---- Calls and replies ----------------------------------------------------------------------------
@@ -33,7 +44,7 @@
 }
 
 void CounterLedger::post(EventContext& context, const Tenant& tenant, const WindowSlice& slice,
-                         const CounterCall& call) const {
+                         const CounterCall& call) {
     context.act(AddToCounter{formatSliceKey({tenant.id, slice.index()}), call.amount(),
                              counterNameLifetime(usage_.planOf(tenant))});
 }
@@ -92,14 +103,6 @@
     return shortage < minLost ? 0 : shortage;
 }
 
-void CounterLedger::recordChargeReply(Request& request, Outcome outcome) const {
-    QuotaCharge& charge = request.charge;
-    charge.posted = wasCounted(outcome);
-    charge.confirmed = outcome == Outcome::ok;
-    // A call that was not counted covers no unsampled requests: only its own cost is charged.
-    if (!charge.posted) charge.amount = request.arrival.cost;
-}
-
 // The request whose call opened a slice also reads the closed slice before it, so that one gateway carries
 // its debt forward.
 void CounterLedger::readClosedSlice(EventContext& context, Tenant& tenant, const CounterCall& call,
--- a/src/decision/quota/counter_ledger.h
+++ b/src/decision/quota/counter_ledger.h
@@ -76,11 +76,9 @@
     void flush(EventContext& context, const SliceKey& key);
 
 private:
-    void post(EventContext& context, const Tenant& tenant, const WindowSlice& slice,
-              const CounterCall& call) const;
+    void post(EventContext& context, const Tenant& tenant, const WindowSlice& slice, const CounterCall& call);
     void applyTotal(Tenant& tenant, WindowSlice& slice, const CounterCall& call, double total, TimePoint now);
     double lostCost(const QuotaPlan& plan, const CounterCall& call, double total) const;
-    void recordChargeReply(Request& request, Outcome outcome) const;
     void readClosedSlice(EventContext& context, Tenant& tenant, const CounterCall& call, Request& request,
                          const CounterReplied& reply);
     bool shouldReadClosedSlice(const Tenant& tenant, const WindowSlice& closed, TimePoint now) const;
--- a/src/decision/quota/quota_admission.cpp
+++ b/src/decision/quota/quota_admission.cpp
@@ -8,16 +8,25 @@
 namespace gateway {
 namespace {
 
-constexpr double kMinReplyUtilization = 0.1;  // lower bounds of the factors of a reply's value
+// Lower bounds of the factors of a reply's value.
+constexpr double kMinReplyUtilization = 0.1;
 constexpr double kMinReplyAgeShare = 0.1;
 constexpr double kMinReplyPenalty = 0.1;
-constexpr double kFreshReplySliceShare = 0.1;  // a reply is worth less this soon after the one before
-constexpr double kMaxSampleWeight = 2;         // including the sampled request itself
+
+// A reply is worth less as long as the one before is fresh.
+constexpr double kFreshReplySliceShare = 0.1;
+
+// Upper bounds of the sample weight, which includes the sampled request itself.
+constexpr double kMaxSampleWeight = 2;
 constexpr double kMaxLowTrafficSampleWeight = 8;
+
 constexpr double kRejectedReplySmoothing = 0.02;
-constexpr double kMeterExponent = 4;  // how steeply admissions fall as utilization passes its limit
-constexpr double kMeterMarginQuotaShare =
-    0.25;  // by which the limit falls at the full cost of an over-quota request
+
+// How steeply unconfirmed admissions fall as the metered utilization passes its limit, and by how much that
+// limit falls for a plan whose over-quota requests cost their full weight.
+constexpr double kMeterExponent = 4;
+constexpr double kMeterMarginQuotaShare = 0.25;
+
 constexpr double kMinUtilization = 1e-9;  // avoids a division by zero
 
 }  // namespace
@@ -53,7 +62,7 @@
                                 Request& request) {
     const double cost = request.arrival.cost;
     const bool isWeighted = !current.hasChargeCalls() && !sampler_.isUnavailable();
-    tenant.usage.recordDemand(cost, sliceSeconds(usage_.planOf(tenant)), context.now);
+    tenant.usage.recordDemand(cost, usage_.planOf(tenant), context.now);
     const double value = replyValue(tenant, current, context.now);
     sampler_.recordReplyValue(value);
     const double probability = sampler_.sampleProbability(value);
--- a/src/decision/quota/quota_window.cpp
+++ b/src/decision/quota/quota_window.cpp
@@ -33,8 +33,8 @@
     const WindowSlice& previous = tenant.slices.back();
     const double known = previous.total() + previous.expiredBurst();
     const double debt = debtOf(plan, known);
-    const double estimatedDebt = debtOf(plan, known + costSinceTotal(tenant, previous)) - debt;
-    return WindowSlice(nextSlice(previous.index()), debt, estimatedDebt);
+    const double estimatedDebt = debtOf(plan, known + costSinceTotal(tenant, previous));
+    return WindowSlice(nextSlice(previous.index()), {.inTotal = debt, .sinceTotal = estimatedDebt - debt});
 }
 
 double QuotaWindow::estimatedTotal(const Tenant& tenant, const WindowSlice& slice, TimePoint now) const {
--- a/src/decision/quota/tenant_usage.cpp
+++ b/src/decision/quota/tenant_usage.cpp
@@ -4,6 +4,7 @@
 #include <cmath>
 
 #include "decision/common/arithmetic.h"
+#include "decision/quota/slice_schedule.h"
 
 namespace gateway {
 namespace {
@@ -20,8 +21,8 @@
     meteredUtilization_ = kInitialUtilization;
 }
 
-void TenantUsage::recordDemand(double cost, double sliceSeconds, TimePoint now) {
-    const double averagingSeconds = kDemandAveragingSlices * sliceSeconds;
+void TenantUsage::recordDemand(double cost, const QuotaPlan& plan, TimePoint now) {
+    const double averagingSeconds = kDemandAveragingSlices * sliceSeconds(plan);
     const Duration sinceLast = now - demandRecordedAt_;
     demandRecordedAt_ = now;
     demand_ *= std::exp(-toSeconds(sinceLast) / averagingSeconds);
--- a/src/decision/quota/tenant_usage.h
+++ b/src/decision/quota/tenant_usage.h
@@ -2,6 +2,7 @@
 #pragma once
 
 #include "decision/quota/window_slice.h"
+#include "gateway/settings.h"
 #include "gateway/types.h"
 
 namespace gateway {
@@ -25,8 +26,8 @@
     // Assumes a utilization close to the quota until the usage meter reports one.
     void assumeInitialUtilization();
 
-    // The tenant requested `cost` at `now`, in a slice of that length.
-    void recordDemand(double cost, double sliceSeconds, TimePoint now);
+    // The tenant requested `cost` under that plan at `now`.
+    void recordDemand(double cost, const QuotaPlan& plan, TimePoint now);
 
     // The slice has left the window. Without a reported total it shows nothing.
     void recordClosedSlice(const WindowSlice& slice);
--- a/src/decision/quota/window_slice.h
+++ b/src/decision/quota/window_slice.h
@@ -68,19 +68,27 @@
     double estimatedRemote = 0;
 };
 
+// The debt of a slice's total, and of the cost that is not yet included in that total.
+struct OpeningDebt {
+    double inTotal = 0;
+    double sinceTotal = 0;
+};
+
 // Invariants, between any two calls of its functions:
-// - Nothing is lost between pending and posted: posted() + pendingCharge() - pendingRefund() changes only by
-// a charge,
-//   a refund, carried debt or a reconciliation. Beginning a call, withdrawing a carried cost and posting lost
-//   cost again only move cost between the terms.
-// - refunds() == pendingRefund() + postedRefund().
-// - Calls end in the order in which they began. The newest call in flight has postedUpToHere() == posted().
+//
+// Cost is pending, in flight or on the counter. posted() + pendingCharge() - pendingRefund() changes only by
+// the charge of a request, a refund, a reconciliation, carried debt or the sampling of a pending charge. The
+// begin of a call, the withdrawal of what it carried and a reported loss only move cost between the three
+// terms.
+//
+// refunds() == pendingRefund() + postedRefund().
+//
+// Calls end in the order in which they began. The newest call in flight has postedUpToHere() == posted().
 class WindowSlice {
 public:
-    // The slice opens with the debt of the slice before it: `debt` of its known total, and `estimatedDebt` of
-    // the cost not yet included in that total.
-    explicit WindowSlice(SliceIndex index, double debt = 0, double estimatedDebt = 0)
-        : index_(index), total_(debt), admittedSinceTotal_(estimatedDebt) {}
+    // `debt`: what the slice before it leaves, as far as it is known when this slice opens.
+    explicit WindowSlice(SliceIndex index, const OpeningDebt& debt = {})
+        : index_(index), total_(debt.inTotal), admittedSinceTotal_(debt.sinceTotal) {}
 
     SliceIndex index() const { return index_; }
 
@@ -107,14 +115,18 @@
 
     // ---- What this gateway has posted and has yet to post ----
 
-    double pendingCharge() const { return pendingCharge_; }  // the next call carries it
-    double pendingRefund() const { return pendingRefund_; }  // the next call carries it
-    double pendingUnconfirmed() const {
-        return pendingUnconfirmed_;
-    }                                                      // of that charge, admitted without a reply
-    double posted() const { return posted_; }              // in flight or on the counter, in all
-    double refunds() const { return refunds_; }            // pending, in flight or on the counter, in all
-    double postedRefund() const { return postedRefund_; }  // of refunds(), in flight or on the counter
+    // Admitted, reconciled or carried cost that the next call posts.
+    double pendingCharge() const { return pendingCharge_; }
+    // Of pendingCharge(), the cost that was admitted without a reply of the counter.
+    double pendingUnconfirmed() const { return pendingUnconfirmed_; }
+    // Refunds that the next call posts.
+    double pendingRefund() const { return pendingRefund_; }
+    // All refunds: pending, in flight or on the counter.
+    double refunds() const { return refunds_; }
+    // Of refunds(), those in flight or on the counter.
+    double postedRefund() const { return postedRefund_; }
+    // All cost in flight or on the counter, less the posted refunds.
+    double posted() const { return posted_; }
     bool hasPending() const { return pendingCharge_ != 0 || pendingRefund_ != 0; }
     // Whether a call has posted the charge of a request to this slice.
     bool hasChargeCalls() const { return hasChargeCalls_; }
--- /dev/null
+++ b/tests/decision/quota/counter_ledger_test.cpp
@@ -0,0 +1,191 @@
+// Charges, refunds, reconciliations and lost counts, observed through the engine.
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <cstdint>
+#include <string>
+
+#include "decision/quota/quota_test.h"
+
+namespace gateway {
+namespace {
+
+class CounterLedgerTest : public QuotaTest {
+protected:
+    static double minCount(const EngineFixture& gateway) {
+        double minimum = 0;
+        for (const auto& [name, sum] : gateway.counts) minimum = std::min(minimum, sum);
+        return minimum;
+    }
+};
+
+TEST_F(CounterLedgerTest, OpenerOfASliceCarriesDebtOfTheClosedSliceForward) {
+    EngineFixture gateway = startGateway();
+    gateway.request();
+    EngineFixture other = startGateway();
+    other.counts = gateway.counts;
+    const std::string closed = other.counts.rbegin()->first;
+    other.counts[closed] = 30;
+    other.now += milliseconds(4000);  // the next slice, to which no gateway has posted
+    other.request();
+    EXPECT_EQ(other.sends.size(), 0u);
+    EXPECT_EQ(other.refusals.size(), 1u);
+    EXPECT_GE(other.counts.rbegin()->second, 30 - 2 * 4);  // the total less the slice's rate
+}
+
+// In a large fleet, each gateway sees so little of a tenant that its estimate of remote usage can be many
+// times the actual one. Posted as debt, it would exhaust the tenant's quota at all gateways.
+TEST_F(CounterLedgerTest, PostsNoEstimatedRemoteUsageAsDebt) {
+    settings().gatewayCount = kLargeFleet;
+    settings().usageMeterPeriod = milliseconds(1000);
+    EngineFixture gateway = startGateway(kManyEndpoints);
+    gateway.counting = false;
+    request(gateway, {.entryPoints = kLargeFleetEntryPoints});
+    gateway.failHeldAdds(Outcome::connectFailed);  // admitted on local knowledge, and pending for the counter
+    ASSERT_EQ(gateway.sends.size(), 1u);
+    gateway.counting = true;
+    gateway.advance(milliseconds(4000));
+    // This request opens the next slice and reads the closed one.
+    request(gateway, {.entryPoints = kLargeFleetEntryPoints});
+    gateway.advance(milliseconds(4000));
+    EXPECT_EQ(gateway.sends.size(), 2u);
+    EXPECT_LE(gateway.counted(), 4);
+}
+
+// A tenant without a request in the previous slice has no known debt.
+TEST_F(CounterLedgerTest, ReadsNoClosedSliceWithoutKnownDebtFromACongestedCounter) {
+    EngineFixture gateway = startGateway();
+    gateway.counting = false;
+    for (std::uint64_t tenant = 100; tenant < 103; ++tenant) {
+        request(gateway, {.tenant = tenant});
+        gateway.failHeldAdds(Outcome::rejected);
+    }
+    gateway.counting = true;
+    for (std::uint64_t tenant = 200; tenant < 210; ++tenant) request(gateway, {.tenant = tenant});
+    for (const auto& [name, sum] : gateway.counts) EXPECT_GT(sum, 0) << name << " was only read";
+}
+
+TEST_F(CounterLedgerTest, RefundsToACongestedCounterNeverExceedChargedCost) {
+    constexpr int kTenants = 200;
+    constexpr int kRequestsPerTenant = 24;  // three times the burst
+    EngineFixture gateway = startGateway();
+    double minimum = 0;
+    for (int i = 0; i < kTenants; ++i) {
+        const std::uint64_t tenant = kFirstOtherTenant + static_cast<std::uint64_t>(i);
+        for (int j = 0; j < kRequestsPerTenant; ++j) {
+            gateway.counting = (tenant + static_cast<std::uint64_t>(j)) % 3 == 0;  // most calls are rejected
+            request(gateway, {.tenant = tenant});
+            gateway.advance(milliseconds(10));
+            gateway.failHeldAdds(Outcome::rejected);
+            minimum = std::min(minimum, minCount(gateway));
+        }
+    }
+    EXPECT_GT(gateway.refusals.size(), 1000u);
+    EXPECT_GE(minimum, -1e-6);
+}
+
+// A congested counter still works on calls that nobody waits for. Posting them again would exhaust the quota.
+TEST_F(CounterLedgerTest, PostsChargesOfTimedOutCallsOnlyOnce) {
+    plan().burst = 40;
+    EngineFixture gateway = startGateway();
+    gateway.counting = false;
+    for (int i = 0; i < 24; ++i) {
+        request(gateway, {.entryPoints = 1});
+        for (const AddToCounter& add : gateway.held) gateway.counts[add.name] += add.amount;
+        gateway.failHeldAdds(Outcome::timedOut);
+    }
+    ASSERT_EQ(gateway.sends.size(), 24u);
+    for (const SendAttempt& send : gateway.sends) endSuccessfully(gateway, send);
+    gateway.counting = true;
+    requestTimes(gateway, 4, {.entryPoints = 1});
+    gateway.advance(milliseconds(5000));
+    EXPECT_GT(gateway.counted(), 20);
+    EXPECT_LE(gateway.counted(), 28 + 1e-6);
+}
+
+// A reported total includes no call that was made after the one that it replies to.
+TEST_F(CounterLedgerTest, AddsChargesOfCallsInFlightToTheReportedTotal) {
+    EngineFixture gateway = startGateway();
+    gateway.counting = false;
+    const auto requestWithoutReply = [&] {
+        request(gateway, {.entryPoints = 1});
+        gateway.advance(milliseconds(60));  // decided without the reply
+    };
+    for (int i = 0; i < 5; ++i) requestWithoutReply();
+    ASSERT_EQ(gateway.sends.size(), 5u);
+    answerOldestCall(gateway, 1);
+    for (int i = 0; i < 10; ++i) requestWithoutReply();
+    EXPECT_LE(gateway.sends.size(), 9u);  // the burst of 8 and 2 per second
+    EXPECT_GE(gateway.sends.size(), 8u);
+}
+
+TEST_F(CounterLedgerTest, PostsLostCountsAgain) {
+    EngineFixture gateway = startGateway();
+    requestTimes(gateway, 5);
+    gateway.counts.clear();
+    requestTimes(gateway, 7);
+    EXPECT_EQ(gateway.sends.size(), 8u);
+    gateway.advance(milliseconds(500));
+    EXPECT_DOUBLE_EQ(gateway.counted(), 8);
+}
+
+// Reconciliations of other gateways lower a total too. Posting the difference again would exhaust the quota
+// of a tenant that has quota left. This holds for a congested counter as well.
+TEST_F(CounterLedgerTest, DoesNotTakeRefundsOfOtherGatewaysForLostCounts) {
+    settings().reconciliationEnabled = true;
+    EngineFixture gateway = startGateway();
+    gateway.request(2);
+    gateway.counting = false;
+    request(gateway, {.tenant = 9});
+    gateway.failHeldAdds(Outcome::connectFailed);
+    gateway.counting = true;
+    for (auto& [name, value] : gateway.counts)
+        if (value > 0) value -= 2;
+    requestTimes(gateway, 4);
+    gateway.advance(milliseconds(1500));
+    double sum = 0;
+    for (const auto& [name, value] : gateway.counts)
+        if (name.starts_with("q5.")) sum += value;
+    EXPECT_EQ(gateway.sends.size(), 6u);
+    EXPECT_LE(sum, 4);  // 6 admitted less the refund of 2
+}
+
+TEST_F(CounterLedgerTest, IgnoresEventsForUnknownSlicesTimersAndRequests) {
+    EngineFixture gateway = startGateway();
+    gateway.feed(CounterReplied{"q99.3", Outcome::ok, 4, {}});
+    gateway.feed(CounterReplied{"nonsense", Outcome::ok, 4, {}});
+    gateway.feed(TimerFired{TimerId{12345}});
+    gateway.feed(ClientDisconnected{RequestId("nobody")});
+    AttemptEnded ended;
+    ended.request = RequestId("nobody");
+    gateway.feed(ended);
+    EXPECT_TRUE(gateway.sends.empty() && gateway.refusals.empty() && gateway.fails.empty());
+}
+
+class ReconciliationTest : public QuotaTest {
+protected:
+    void SetUp() override { settings().reconciliationEnabled = true; }
+};
+
+TEST_F(ReconciliationTest, CarriesActualCostForwardAsDebtAndRefund) {
+    EngineFixture gateway = startGateway();
+    gateway.request();
+    gateway.end(gateway.sends[0], 0, Outcome::ok, true, 11);  // 3 beyond the burst: a debt of 1.5 s
+    gateway.advance(milliseconds(1000));
+    EXPECT_DOUBLE_EQ(gateway.counted(), 11);
+    gateway.request();
+    EXPECT_EQ(gateway.refusals.size(), 1u);
+
+    gateway.advance(milliseconds(1500));
+    gateway.request();
+    EXPECT_EQ(gateway.sends.size(), 2u);
+
+    EngineFixture refund = startGateway();
+    refund.request(2);
+    refund.end(refund.sends[0], 0, Outcome::ok, true, 1);
+    refund.advance(milliseconds(1000));
+    EXPECT_DOUBLE_EQ(refund.counted(), 1);
+}
+
+}  // namespace
+}  // namespace gateway
--- a/tests/decision/quota/quota_window_test.cpp
+++ b/tests/decision/quota/quota_window_test.cpp
@@ -1,4 +1,6 @@
-// The sliding window, reconciliation and concurrency limits of quotas, observed through the engine.
+// The sliding window, alone and observed through the engine.
+#include "decision/quota/quota_window.h"
+
 #include <gtest/gtest.h>
 
 #include <string>
@@ -62,39 +64,6 @@
         EXPECT_LE(sum, kBurst + kSliceSeconds * kRate);  // one slice, including the debt carried into it
 }
 
-TEST_F(QuotaWindowTest, OpenerOfASliceCarriesDebtOfTheClosedSliceForward) {
-    EngineFixture gateway = startGateway();
-    gateway.request();
-    EngineFixture other = startGateway();
-    other.counts = gateway.counts;
-    const std::string closed = other.counts.rbegin()->first;
-    other.counts[closed] = 30;
-    other.now += milliseconds(4000);  // the next slice, to which no gateway has posted
-    other.request();
-    EXPECT_EQ(other.sends.size(), 0u);
-    EXPECT_EQ(other.refusals.size(), 1u);
-    EXPECT_GE(other.counts.rbegin()->second, 30 - 2 * 4);  // the total less the slice's rate
-}
-
-// In a large fleet, each gateway sees so little of a tenant that its estimate of remote usage can be many
-// times the actual one. Posted as debt, it would exhaust the tenant's quota at all gateways.
-TEST_F(QuotaWindowTest, PostsNoEstimatedRemoteUsageAsDebt) {
-    settings().gatewayCount = kLargeFleet;
-    settings().usageMeterPeriod = milliseconds(1000);
-    EngineFixture gateway = startGateway(kManyEndpoints);
-    gateway.counting = false;
-    request(gateway, {.entryPoints = kLargeFleetEntryPoints});
-    gateway.failHeldAdds(Outcome::connectFailed);  // admitted on local knowledge, and pending for the counter
-    ASSERT_EQ(gateway.sends.size(), 1u);
-    gateway.counting = true;
-    gateway.advance(milliseconds(4000));
-    // This request opens the next slice and reads the closed one.
-    request(gateway, {.entryPoints = kLargeFleetEntryPoints});
-    gateway.advance(milliseconds(4000));
-    EXPECT_EQ(gateway.sends.size(), 2u);
-    EXPECT_LE(gateway.counted(), 4);
-}
-
 // The slices of plans differ in length, so the index of a slice has no meaning under another plan.
 TEST_F(QuotaWindowTest, AppliesTheQuotaOfTheNewPlanWhenATenantChangesPlan) {
     settings().plans.push_back(plan());
@@ -136,43 +105,71 @@
     EXPECT_EQ(gateway.sends.size(), 9u);
 }
 
-class ReconciliationTest : public QuotaTest {
+// The window alone, on one tenant with an empty total reported for its current slice.
+class QuotaWindowQueryTest : public testing::Test {
 protected:
-    void SetUp() override { settings().reconciliationEnabled = true; }
+    static constexpr TimePoint kNow{milliseconds(100'000)};
+
+    QuotaWindowQueryTest() {
+        tenant.id = TenantId{5};
+        WindowSlice& current = window.advance(tenant, kNow);
+        current.beginFlushCall();
+        current.applyTotal(current.endOldestCall(), {.sum = 0, .reportedAt = kNow});
+    }
+
+    WindowSlice& current() { return tenant.slices.back(); }
+    double remaining(double total) const {
+        return window.remainingQuota(tenant, tenant.slices.back(), total, kNow).cost;
+    }
+
+    Settings settings = plainSettings();
+    UsageEstimator usage{settings};
+    QuotaWindow window{settings, usage};
+    Tenant tenant;
 };
 
-TEST_F(ReconciliationTest, CarriesActualCostForwardAsDebtAndRefund) {
-    EngineFixture gateway = startGateway();
-    gateway.request();
-    gateway.end(gateway.sends[0], 0, Outcome::ok, true, 11);  // 3 beyond the burst: a debt of 1.5 s
-    gateway.advance(milliseconds(1000));
-    EXPECT_DOUBLE_EQ(gateway.counted(), 11);
-    gateway.request();
-    EXPECT_EQ(gateway.refusals.size(), 1u);
+TEST_F(QuotaWindowQueryTest, KeepsThePreviousAndTheCurrentSlice) {
+    ASSERT_EQ(tenant.slices.size(), 2u);
+    const SliceIndex index = current().index();
+    EXPECT_EQ(tenant.slices.front().index(), previousSlice(index));
+    window.advance(tenant, kNow + milliseconds(4000));
+    ASSERT_EQ(tenant.slices.size(), 2u);
+    EXPECT_EQ(tenant.slices.front().index(), index);
+    EXPECT_EQ(findSlice(tenant, previousSlice(index)), nullptr);
+}
 
-    gateway.advance(milliseconds(1500));
-    gateway.request();
-    EXPECT_EQ(gateway.sends.size(), 2u);
+TEST_F(QuotaWindowQueryTest, QueriesChangeNothing) {
+    const double before = remaining(0);
+    window.timeUntilQuota(tenant, 100, kNow);
+    window.quotaUtilization(tenant, current(), kNow);
+    window.isWithinQuota(tenant, current(), kNow);
+    EXPECT_EQ(remaining(0), before);
+    EXPECT_EQ(current().expiredBurst(), 0);
+}
 
-    EngineFixture refund = startGateway();
-    refund.request(2);
-    refund.end(refund.sends[0], 0, Outcome::ok, true, 1);
-    refund.advance(milliseconds(1000));
-    EXPECT_DOUBLE_EQ(refund.counted(), 1);
+TEST_F(QuotaWindowQueryTest, ExpiresUnusedCapacityBeyondTheBurst) {
+    EXPECT_GT(remaining(0), 8);
+    window.expireCurrentSliceBurst(tenant, kNow);
+    EXPECT_DOUBLE_EQ(remaining(0), 8);
+    EXPECT_DOUBLE_EQ(remaining(3), 5);
 }
 
-class ConcurrencyQuotaTest : public QuotaTest {};
+TEST_F(QuotaWindowQueryTest, WaitsUntilTheRateHasAddedTheMissingQuota) {
+    window.expireCurrentSliceBurst(tenant, kNow);
+    EXPECT_EQ(window.timeUntilQuota(tenant, 8, kNow), Duration::zero());
+    EXPECT_EQ(window.timeUntilQuota(tenant, 10, kNow), milliseconds(1000));
+}
 
-TEST_F(ConcurrencyQuotaTest, RejectsBeyondItsShareOfAttemptsInFlight) {
-    plan() = QuotaPlan{};
-    plan().concurrency = 4;  // over two gateways
-    EngineFixture gateway = startGateway();
-    requestTimes(gateway, 6);
-    EXPECT_EQ(gateway.sends.size(), 2u);
-    endSuccessfully(gateway, gateway.sends[0]);
-    gateway.request();
-    EXPECT_EQ(gateway.sends.size(), 3u);
-    EXPECT_EQ(gateway.refusals.size(), 4u);
+TEST_F(QuotaWindowQueryTest, OpensTheNextSliceWithTheDebtOfTheCurrentOne) {
+    current().carryDebt(11);
+    const WindowSlice& next = window.advance(tenant, kNow + milliseconds(4000));
+    EXPECT_DOUBLE_EQ(next.total(), 11 - 2 * 4);
+}
+
+TEST(RemainingQuotaTest, CoversCostUpToRounding) {
+    EXPECT_TRUE(RemainingQuota{2}.covers(2));
+    EXPECT_TRUE(RemainingQuota{2 - 1e-9}.covers(2));
+    EXPECT_FALSE(RemainingQuota{1.9}.covers(2));
 }
 
 }  // namespace
