--- a/tests/decision/upstream/endpoint_concurrency_limit_test.cpp
+++ b/tests/decision/upstream/endpoint_concurrency_limit_test.cpp
@@ -25,44 +25,44 @@
     }
 
     void beginAttempts(int count) {
-        for (int i = 0; i < count; ++i) limit_.beginAttempt();
+        for (int i = 0; i < count; ++i) limit.beginAttempt();
     }
 
-    EndpointConcurrencyLimit limit_{kInitialLimit};
+    EndpointConcurrencyLimit limit{kInitialLimit};
 };
 
 TEST_F(EndpointConcurrencyLimitTest, LowersLimitOnceInAResponseTime) {
-    limit_.observe(responseSample(true), kNow);
-    limit_.observe(responseSample(true), kNow + milliseconds(50));
-    EXPECT_EQ(limit_.maxInFlight(), 8);
-    limit_.observe(responseSample(true), kNow + milliseconds(150));
-    EXPECT_DOUBLE_EQ(limit_.maxInFlight(), 6.4);
+    limit.observe(responseSample(true), kNow);
+    limit.observe(responseSample(true), kNow + milliseconds(50));
+    EXPECT_EQ(limit.maxInFlight(), 8);
+    limit.observe(responseSample(true), kNow + milliseconds(150));
+    EXPECT_DOUBLE_EQ(limit.maxInFlight(), 6.4);
     beginAttempts(6);
-    EXPECT_FALSE(limit_.hasCapacity());
+    EXPECT_FALSE(limit.hasCapacity());
 }
 
 TEST_F(EndpointConcurrencyLimitTest, NeverFallsBelowOneAttempt) {
-    for (int i = 0; i < 100; ++i) limit_.observe(responseSample(true), kNow + std::chrono::seconds(i));
-    EXPECT_EQ(limit_.maxInFlight(), 1);
-    EXPECT_TRUE(limit_.hasCapacity());
+    for (int i = 0; i < 100; ++i) limit.observe(responseSample(true), kNow + std::chrono::seconds(i));
+    EXPECT_EQ(limit.maxInFlight(), 1);
+    EXPECT_TRUE(limit.hasCapacity());
 }
 
 TEST_F(EndpointConcurrencyLimitTest, RaisesLimitOnlyWhileItIsNearlyUsedUp) {
-    limit_.observe(responseSample(false), kNow);
-    EXPECT_EQ(limit_.maxInFlight(), kInitialLimit);
+    limit.observe(responseSample(false), kNow);
+    EXPECT_EQ(limit.maxInFlight(), kInitialLimit);
     beginAttempts(8);
-    limit_.observe(responseSample(false), kNow);
-    EXPECT_DOUBLE_EQ(limit_.maxInFlight(), 10.1);
+    limit.observe(responseSample(false), kNow);
+    EXPECT_DOUBLE_EQ(limit.maxInFlight(), 10.1);
 }
 
 TEST_F(EndpointConcurrencyLimitTest, ResetRestoresTheLimitAndKeepsAttemptsInFlight) {
     beginAttempts(3);
-    limit_.observe(responseSample(true), kNow);
-    limit_.reset(kInitialLimit);
-    EXPECT_EQ(limit_.maxInFlight(), kInitialLimit);
-    EXPECT_EQ(limit_.inFlight(), 3);
-    limit_.endAttempt();
-    EXPECT_EQ(limit_.inFlight(), 2);
+    limit.observe(responseSample(true), kNow);
+    limit.reset(kInitialLimit);
+    EXPECT_EQ(limit.maxInFlight(), kInitialLimit);
+    EXPECT_EQ(limit.inFlight(), 3);
+    limit.endAttempt();
+    EXPECT_EQ(limit.inFlight(), 2);
 }
 
 }  // namespace
--- a/tests/decision/upstream/outlier_detector_test.cpp
+++ b/tests/decision/upstream/outlier_detector_test.cpp
@@ -2,8 +2,11 @@
 
 #include <gtest/gtest.h>
 
+#include <algorithm>
 #include <chrono>
 
+#include "decision/upstream/upstream_engine_test.h"
+
 namespace gateway {
 namespace {
 
@@ -14,46 +17,46 @@
     static constexpr TimePoint kNow{seconds(100)};
 
     void observeErrors(int count) {
-        for (int i = 0; i < count; ++i) detector_.observe(Outcome::error, kNow);
+        for (int i = 0; i < count; ++i) detector.observe(Outcome::error, kNow);
     }
 
-    OutlierDetector detector_;
+    OutlierDetector detector;
 };
 
 TEST_F(OutlierDetectorTest, EjectsEndpointAfterConsecutiveErrors) {
     observeErrors(2);
-    EXPECT_FALSE(detector_.isEjected(false, kNow));
+    EXPECT_FALSE(detector.isEjected(false, kNow));
     observeErrors(1);  // 1 - 0.85^3 is past 0.3
-    EXPECT_TRUE(detector_.isEjected(false, kNow));
+    EXPECT_TRUE(detector.isEjected(false, kNow));
 }
 
 TEST_F(OutlierDetectorTest, EjectsUnreachableEndpointAtOnce) {
-    detector_.observe(Outcome::connectFailed, kNow);
-    EXPECT_TRUE(detector_.isEjected(false, kNow));
+    detector.observe(Outcome::connectFailed, kNow);
+    EXPECT_TRUE(detector.isEjected(false, kNow));
 }
 
 TEST_F(OutlierDetectorTest, IgnoresTimeoutsAndAttemptsThatTheGatewayGaveUp) {
     for (int i = 0; i < 50; ++i)
         for (const Outcome outcome : {Outcome::timedOut, Outcome::cancelled, Outcome::notSent})
-            detector_.observe(outcome, kNow);
-    EXPECT_FALSE(detector_.isEjected(false, kNow));
+            detector.observe(outcome, kNow);
+    EXPECT_FALSE(detector.isEjected(false, kNow));
 }
 
 TEST_F(OutlierDetectorTest, AdmitsOneAttemptAtATimeOnProbation) {
     observeErrors(3);
     const TimePoint ejectionEnd = kNow + seconds(1);
-    EXPECT_FALSE(detector_.isEjected(false, ejectionEnd));
-    EXPECT_TRUE(detector_.isEjected(true, ejectionEnd));
-    detector_.observe(Outcome::ok, ejectionEnd);
-    EXPECT_FALSE(detector_.isEjected(true, ejectionEnd));
+    EXPECT_FALSE(detector.isEjected(false, ejectionEnd));
+    EXPECT_TRUE(detector.isEjected(true, ejectionEnd));
+    detector.observe(Outcome::ok, ejectionEnd);
+    EXPECT_FALSE(detector.isEjected(true, ejectionEnd));
 }
 
 TEST_F(OutlierDetectorTest, DoublesConsecutiveEjectionsUpToTheMaximum) {
     TimePoint now = kNow;
     for (const int length : {1, 2, 4, 8, 8}) {
-        detector_.observe(Outcome::connectFailed, now);
-        EXPECT_EQ(detector_.ejectedUntil() - now, seconds(length));
-        now = detector_.ejectedUntil();
+        detector.observe(Outcome::connectFailed, now);
+        EXPECT_EQ(detector.ejectedUntil() - now, seconds(length));
+        now = detector.ejectedUntil();
     }
 }
 
@@ -63,30 +66,54 @@
 }
 
 TEST_F(OutlierDetectorTest, FailuresDuringAnEjectionDoNotExtendIt) {
-    detector_.observe(Outcome::connectFailed, kNow);
-    const TimePoint ejectionEnd = detector_.ejectedUntil();
-    for (int i = 0; i < 10; ++i) detector_.observe(Outcome::error, kNow + std::chrono::milliseconds(i));
-    EXPECT_EQ(detector_.ejectedUntil(), ejectionEnd);
+    detector.observe(Outcome::connectFailed, kNow);
+    const TimePoint ejectionEnd = detector.ejectedUntil();
+    for (int i = 0; i < 10; ++i) detector.observe(Outcome::error, kNow + std::chrono::milliseconds(i));
+    EXPECT_EQ(detector.ejectedUntil(), ejectionEnd);
 }
 
 TEST_F(OutlierDetectorTest, KeepsTheErrorRateBetweenZeroAndOne) {
     for (int i = 0; i < 1000; ++i) {
-        detector_.observe(Outcome::error, kNow + seconds(i));
-        EXPECT_LE(detector_.errorRate(), 1);
+        detector.observe(Outcome::error, kNow + seconds(i));
+        EXPECT_LE(detector.errorRate(), 1);
     }
     for (int i = 0; i < 1000; ++i) {
-        detector_.observe(Outcome::ok, kNow + seconds(1000 + i));
-        EXPECT_GE(detector_.errorRate(), 0);
+        detector.observe(Outcome::ok, kNow + seconds(1000 + i));
+        EXPECT_GE(detector.errorRate(), 0);
     }
 }
 
 TEST_F(OutlierDetectorTest, LastingSuccessEndsTheSeriesOfEjections) {
-    detector_.observe(Outcome::connectFailed, kNow);
-    const TimePoint later = detector_.ejectedUntil() + seconds(1);
-    for (int i = 0; i < 20; ++i) detector_.observe(Outcome::ok, later);
-    EXPECT_FALSE(detector_.isOnProbation());
-    detector_.observe(Outcome::connectFailed, later);
-    EXPECT_EQ(detector_.ejectedUntil() - later, seconds(1));
+    detector.observe(Outcome::connectFailed, kNow);
+    const TimePoint later = detector.ejectedUntil() + seconds(1);
+    for (int i = 0; i < 20; ++i) detector.observe(Outcome::ok, later);
+    EXPECT_FALSE(detector.isOnProbation());
+    detector.observe(Outcome::connectFailed, later);
+    EXPECT_EQ(detector.ejectedUntil() - later, seconds(1));
+}
+
+// Outlier detection as a part of the decision engine.
+class OutlierDetectorEngineTest : public UpstreamEngineTest {};
+
+TEST_F(OutlierDetectorEngineTest, EjectsFailingEndpointAndUsesItAgainAfterItRecovers) {
+    start(plainSettings(), 4);
+    const EndpointId failing("w1");
+    std::ptrdiff_t attemptsWhileFailing = 0;
+    std::ptrdiff_t attemptsAfterRecovery = 0;
+    for (std::uint64_t i = 0; i < 500; ++i) {
+        const bool hasRecovered = i >= 200;
+        const std::vector<EndpointId> endpoints = serveRequest(i, [&](const EndpointId& endpoint) {
+            return AttemptReply{endpoint == failing && !hasRecovered ? Outcome::error : Outcome::ok};
+        });
+        const auto count = std::count(endpoints.begin(), endpoints.end(), failing);
+        if (hasRecovered)
+            attemptsAfterRecovery += count;
+        else
+            attemptsWhileFailing += count;
+        advance(milliseconds(100));
+    }
+    EXPECT_LT(attemptsWhileFailing, 20);
+    EXPECT_GE(attemptsAfterRecovery, 2);
 }
 
 }  // namespace
--- a/tests/decision/upstream/retry_policy_test.cpp
+++ b/tests/decision/upstream/retry_policy_test.cpp
@@ -49,15 +49,15 @@
 
 class RetryPolicyClassTest : public testing::TestWithParam<RetryCase> {
 protected:
-    Settings settings_ = makeSettings(GetParam());
-    LatencyStats latency_{settings_};
-    RetryPolicy policy_{settings_, latency_};
+    Settings settings = makeSettings(GetParam());
+    LatencyStats latency{settings};
+    RetryPolicy policy{settings, latency};
 };
 
 TEST_P(RetryPolicyClassTest, FollowsIdempotencyOfTheClassAndWhetherTheRequestMayHaveRun) {
     const Request request = makeRequest(GetParam());
-    EXPECT_EQ(policy_.tryAcquireRetry(request, kNow), GetParam().canRetry);
-    EXPECT_EQ(policy_.isClientRetrySafe(request, kNow), GetParam().isClientRetrySafe);
+    EXPECT_EQ(policy.tryAcquireRetry(request, kNow), GetParam().canRetry);
+    EXPECT_EQ(policy.isClientRetrySafe(request, kNow), GetParam().isClientRetrySafe);
 }
 
 constexpr auto kAll = DeduplicationScope::all;
@@ -76,50 +76,50 @@
 protected:
     static constexpr RetryCase kSafe{"Safe", Idempotency::safe, kAll, false, {}, true, true};
 
-    Settings settings_ = makeSettings(kSafe);
-    LatencyStats latency_{settings_};
-    RetryPolicy policy_{settings_, latency_};
+    Settings settings = makeSettings(kSafe);
+    LatencyStats latency{settings};
+    RetryPolicy policy{settings, latency};
 };
 
 TEST_F(RetryPolicyTest, BoundsRetriesToAShareOfFirstAttempts) {
     const Request request = makeRequest(kSafe);
-    for (int i = 0; i < 10; ++i) EXPECT_TRUE(policy_.tryAcquireRetry(request, kNow));
-    EXPECT_FALSE(policy_.tryAcquireRetry(request, kNow));
-    for (int i = 0; i < 6; ++i) policy_.recordFirstAttempt();
-    EXPECT_TRUE(policy_.tryAcquireRetry(request, kNow));
-    EXPECT_FALSE(policy_.tryAcquireRetry(request, kNow));
+    for (int i = 0; i < 10; ++i) EXPECT_TRUE(policy.tryAcquireRetry(request, kNow));
+    EXPECT_FALSE(policy.tryAcquireRetry(request, kNow));
+    for (int i = 0; i < 6; ++i) policy.recordFirstAttempt();
+    EXPECT_TRUE(policy.tryAcquireRetry(request, kNow));
+    EXPECT_FALSE(policy.tryAcquireRetry(request, kNow));
 }
 
 TEST_F(RetryPolicyTest, SavesNoMoreThanTheMaxBudget) {
     const Request request = makeRequest(kSafe);
-    for (int i = 0; i < 1000; ++i) policy_.recordFirstAttempt();
-    for (int i = 0; i < 10; ++i) EXPECT_TRUE(policy_.tryAcquireRetry(request, kNow));
-    EXPECT_FALSE(policy_.tryAcquireRetry(request, kNow));
+    for (int i = 0; i < 1000; ++i) policy.recordFirstAttempt();
+    for (int i = 0; i < 10; ++i) EXPECT_TRUE(policy.tryAcquireRetry(request, kNow));
+    EXPECT_FALSE(policy.tryAcquireRetry(request, kNow));
 }
 
 TEST_F(RetryPolicyTest, RejectsRetryWithoutEnoughTime) {
     Request request = makeRequest(kSafe);
     request.arrival.deadline = kNow + std::chrono::milliseconds(50);  // 75 ms are expected
-    EXPECT_FALSE(policy_.tryAcquireRetry(request, kNow));
+    EXPECT_FALSE(policy.tryAcquireRetry(request, kNow));
 }
 
 TEST_F(RetryPolicyTest, RejectsRetryWhileAnAttemptIsInFlight) {
     Request request = makeRequest(kSafe);
     request.attempts.push_back({1, kNow, false});
-    EXPECT_FALSE(policy_.tryAcquireRetry(request, kNow));
+    EXPECT_FALSE(policy.tryAcquireRetry(request, kNow));
 }
 
 TEST_F(RetryPolicyTest, RejectsRetryPastTheMaxAttempts) {
     Request request = makeRequest(kSafe);
-    request.attempts.resize(static_cast<std::size_t>(settings_.maxAttempts), {0, kNow, true});
-    EXPECT_FALSE(policy_.tryAcquireRetry(request, kNow));
+    request.attempts.resize(static_cast<std::size_t>(settings.maxAttempts), {0, kNow, true});
+    EXPECT_FALSE(policy.tryAcquireRetry(request, kNow));
 }
 
 TEST_F(RetryPolicyTest, RejectedRetrySpendsNothing) {
     Request inFlight = makeRequest(kSafe);
     inFlight.attempts.push_back({1, kNow, false});
-    for (int i = 0; i < 100; ++i) EXPECT_FALSE(policy_.tryAcquireRetry(inFlight, kNow));
-    EXPECT_TRUE(policy_.tryAcquireRetry(makeRequest(kSafe), kNow));
+    for (int i = 0; i < 100; ++i) EXPECT_FALSE(policy.tryAcquireRetry(inFlight, kNow));
+    EXPECT_TRUE(policy.tryAcquireRetry(makeRequest(kSafe), kNow));
 }
 
 }  // namespace
