--- a/src/net/config/config.cpp
+++ b/src/net/config/config.cpp
@@ -69,7 +69,7 @@
         settings.each("contracts",
                       [&](const Fields& item) { config.planNames.push_back(item.text("name")); });
     config.keepAlive = settings.object("allowed").seconds("keepaliveS", kDefaultKeepAliveSeconds);
-    config.words = {readWords(settings, "zones"), readWords(settings, "kinds")};
+    config.vocabulary = {readWords(settings, "zones"), readWords(settings, "kinds")};
 }
 
 }  // namespace
@@ -83,7 +83,7 @@
         config.seed = readSeed(fields);
         readLimits(fields, config);
         readGatewaySettings(fields, config);
-        if (fields.has("known")) config.known = readEndpointList(fields.object("known"), config.words);
+        if (fields.has("known")) config.known = readEndpointList(fields.object("known"), config.vocabulary);
         return config;
     });
 }
--- a/src/net/config/config.h
+++ b/src/net/config/config.h
@@ -44,7 +44,7 @@
     std::vector<std::string> classNames;  // in the order of Settings::classes
     std::vector<std::string> planNames;   // in the order of Settings::plans
     Duration keepAlive{};                 // after which an endpoint closes an idle connection
-    EndpointWords words;
+    EndpointVocabulary vocabulary;
     EndpointList known;  // the endpoints as this gateway last had them; may be old
     Timing timing;
 };
--- a/src/net/discovery/discovery_client.cpp
+++ b/src/net/discovery/discovery_client.cpp
@@ -1,6 +1,5 @@
 #include "net/discovery/discovery_client.h"
 
-#include <algorithm>
 #include <utility>
 
 #include "net/transport/log.h"
@@ -8,72 +7,82 @@
 namespace gateway::net {
 namespace {
 
-// Ended before only by a newer call: one that comes up late is a call that is not answered yet. The bound is
-// for the handlers, past the life of any call.
+// Longer than any call stays pending: a call that connects late is one that is not answered yet, and only a
+// newer call closes it.
 constexpr Duration kConnectTimeout = std::chrono::seconds(10);
 constexpr std::size_t kMaxPendingCalls = 2;
 
 }  // namespace
 
-DiscoveryClient::DiscoveryClient(boost::asio::io_context& io, TimerQueue& timers, const Clock& clock,
+DiscoveryClient::DiscoveryClient(boost::asio::io_context& ioContext, TimerQueue& timers, const Clock& clock,
                                  Options options, UpdateHandler onUpdate)
-    : io_(io), timers_(timers), clock_(clock), options_(std::move(options)), onUpdate_(std::move(onUpdate)) {}
+    : ioContext_(ioContext),
+      timers_(timers),
+      clock_(clock),
+      options_(std::move(options)),
+      onUpdate_(std::move(onUpdate)) {}
 
 // ---- Calls ----------------------------------------------------------------------------------------
 
-// The next call is set at once: whatever becomes of this one, only an answer takes it back.
+// Schedules the next call at once, so that one follows in time however this one goes on. Only an answer
+// cancels it.
 void DiscoveryClient::call() {
-    if (stopped_) return;
+    if (isStopped_) return;
     if (pending_.size() >= kMaxPendingCalls) {
         pending_.front()->close();
         pending_.erase(pending_.begin());
     }
-    const auto stream =
-        std::make_shared<WatchStream>(io_, static_cast<WatchStream::Owner&>(*this), timers_, needsSnapshot_);
+    const auto stream = std::make_shared<WatchStream>(ioContext_, static_cast<WatchStreamObserver&>(*this),
+                                                      timers_, needsSnapshot_);
     pending_.push_back(stream);
-    callIn(options_.schedule.afterBegin(clock_.now()));
+    scheduleCall(options_.schedule.delayAfterStart(clock_.now()));
     stream->connect(options_.address, timers_, kConnectTimeout, options_.reclaimDescriptor);
 }
 
-void DiscoveryClient::callIn(Duration wait) {
+void DiscoveryClient::scheduleCall(Duration delay) {
     timers_.cancel(nextCall_);
-    nextCall_ = timers_.after(wait, [this] { call(); });
+    nextCall_ = timers_.after(delay, [this] { call(); });
 }
 
 void DiscoveryClient::closeAll() {
-    if (const StreamPtr watch = std::exchange(watch_, nullptr)) watch->close();
-    for (const StreamPtr& stream : std::exchange(pending_, {})) stream->close();
+    const StreamPtr watch = std::exchange(watch_, nullptr);
+    if (watch) watch->close();
+    const std::vector<StreamPtr> pending = std::exchange(pending_, {});
+    for (const StreamPtr& stream : pending) stream->close();
 }
 
 void DiscoveryClient::stop() {
-    stopped_ = true;
+    isStopped_ = true;
     timers_.cancel(nextCall_);
     closeAll();
 }
 
 void DiscoveryClient::moveTo(const tcp::endpoint& address) {
-    if (stopped_ || address == options_.address) return;
+    if (isStopped_ || address == options_.address) return;
     options_.address = address;
     needsSnapshot_ = true;
     closeAll();
-    const Duration wait = options_.schedule.afterReload(clock_.now());
-    if (wait > Duration::zero()) return callIn(wait);
-    call();
+    const Duration delay = options_.schedule.delayAfterReload(clock_.now());
+    if (delay > Duration::zero())
+        scheduleCall(delay);
+    else
+        call();
 }
 
-bool DiscoveryClient::isNewest(const WatchStream& stream) const {
+bool DiscoveryClient::isNewestPending(const WatchStream& stream) const {
     return !pending_.empty() && pending_.back().get() == &stream;
 }
 
-// ---- What becomes of a stream ---------------------------------------------------------------------
+// ---- Streams --------------------------------------------------------------------------------------
 
-void DiscoveryClient::onRequested(const WatchStream& stream) {
-    if (isNewest(stream)) callIn(options_.schedule.afterRequest(clock_.now()));
+void DiscoveryClient::onRequestSent(const WatchStream& stream) {
+    if (isNewestPending(stream)) scheduleCall(options_.schedule.delayAfterRequest(clock_.now()));
 }
 
-void DiscoveryClient::onAnswering(const WatchStream& stream) {
+void DiscoveryClient::onListStarted(const WatchStream& stream) {
     timers_.cancel(nextCall_);
-    for (const StreamPtr& pending : std::exchange(pending_, {})) {
+    const std::vector<StreamPtr> answered = std::exchange(pending_, {});
+    for (const StreamPtr& pending : answered) {
         if (pending.get() == &stream)
             watch_ = pending;
         else
@@ -81,55 +90,57 @@
     }
 }
 
-void DiscoveryClient::onRequestedAgain(const WatchStream& stream) {
+void DiscoveryClient::onWatchRequestSent(const WatchStream& stream) {
     if (watch_.get() != &stream) return;
     pending_.push_back(std::exchange(watch_, nullptr));
-    callIn(options_.schedule.afterRequest(clock_.now()));
+    scheduleCall(options_.schedule.delayAfterRequest(clock_.now()));
 }
 
-void DiscoveryClient::onSilent(const WatchStream& stream, bool amidList) {
+void DiscoveryClient::onSilent(const WatchStream& stream, bool isListIncomplete) {
     if (watch_.get() != &stream) return;
     const StreamPtr silent = std::exchange(watch_, nullptr);
-    if (amidList) pending_.push_back(silent);
-    callIn(options_.schedule.afterSilence(clock_.now()));
+    if (isListIncomplete) pending_.push_back(silent);
+    scheduleCall(options_.schedule.delayAfterSilence(clock_.now()));
 }
 
 void DiscoveryClient::onEnded(const WatchStream& stream) {
     const bool wasWatch = watch_.get() == &stream;
-    const bool wasNewest = isNewest(stream);
+    const bool wasNewest = isNewestPending(stream);
     if (wasWatch) watch_ = nullptr;
     std::erase_if(pending_, [&](const StreamPtr& pending) { return pending.get() == &stream; });
-    // Behind an older one the next call is set already.
-    if (stopped_ || !(wasWatch || wasNewest)) return;
-    callIn(stream.lacksDescriptor() ? options_.schedule.afterShortage()
-                                    : options_.schedule.afterEnd(clock_.now()));
+    // The end of an older call changes nothing: the next call was scheduled with the newer one.
+    if (isStopped_ || !(wasWatch || wasNewest)) return;
+    scheduleCall(stream.lacksDescriptor() ? options_.schedule.delayAfterDescriptorShortage()
+                                          : options_.schedule.delayAfterFailure(clock_.now()));
 }
 
-// ---- What a stream brings -------------------------------------------------------------------------
+// ---- Documents ------------------------------------------------------------------------------------
 
-void DiscoveryClient::onSnapshot(std::string_view text) {
-    EndpointList list = parse(text);
+void DiscoveryClient::onSnapshot(std::string_view document) {
+    EndpointList list = parse(document);
     list.isSnapshot = true;
-    accept(list);
+    applyUpdate(list);
     needsSnapshot_ = false;
 }
 
-void DiscoveryClient::onDelta(std::string_view text) {
-    accept(parse(text));
+void DiscoveryClient::onChanges(std::string_view document) {
+    applyUpdate(parse(document));
 }
 
-EndpointList DiscoveryClient::parse(std::string_view text) const {
+// Logs an invalid document and throws, which ends the stream. The next watch asks for the changes since the
+// last valid version.
+EndpointList DiscoveryClient::parse(std::string_view document) const {
     try {
-        return parseEndpointList(text, options_.words);
+        return parseEndpointList(document, options_.vocabulary);
     } catch (const std::exception& e) {
         log(LogLevel::warning, "discovery", e.what());
-        throw;  // ends the stream; the next watch asks again from the last good version
+        throw;
     }
 }
 
-void DiscoveryClient::accept(const EndpointList& list) {
-    options_.knownVersion = list.index;
-    options_.schedule.onAnswer();
+void DiscoveryClient::applyUpdate(const EndpointList& list) {
+    options_.knownVersion = list.version;
+    options_.schedule.noteListReceived();
     onUpdate_(list);
 }
 
--- a/src/net/discovery/discovery_client.h
+++ b/src/net/discovery/discovery_client.h
@@ -1,4 +1,4 @@
-// Keeps a watch on the list of endpoints and hands on what it brings, in order.
+// Keeps the endpoint list up to date.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -14,30 +14,36 @@
 
 namespace gateway::net {
 
-// A call that is not answered yet stays open while one newer call is made beside it: thrown away, a list that
-// takes long to come would be begun again for ever. The one answered first is the watch, and the other ends;
-// so one connection at a time tells, and no older change comes behind a newer one.
-class DiscoveryClient final : private WatchStream::Owner {
+// Calls discovery as the PollSchedule says, watches its list, and hands on every snapshot and change in
+// order.
+//
+// A call that is not answered yet stays open while one newer call is made beside it: if it were closed, a
+// list that takes long to start would never be received. The call that is answered first becomes the watch
+// and the other one is closed. So updates come from one connection at a time, and no older change follows a
+// newer one.
+class DiscoveryClient final : private WatchStreamObserver {
 public:
     using UpdateHandler = std::function<void(const EndpointList&)>;
 
     struct Options {
         tcp::endpoint address;
-        EndpointWords words;
-        std::uint64_t knownVersion =
-            0;  // of the list known before; the first answer brings what changed after
+        EndpointVocabulary vocabulary;
+        std::uint64_t knownVersion = 0;  // of the list that is known at the start
         PollSchedule schedule;
-        ReclaimDescriptor reclaimDescriptor;  // where the process has no descriptor left
+        ReclaimDescriptor reclaimDescriptor;  // called when the process has no free descriptor
     };
 
-    // `io`, `timers` and `clock` must outlive the client.
-    DiscoveryClient(boost::asio::io_context& io, TimerQueue& timers, const Clock& clock, Options options,
-                    UpdateHandler onUpdate);
+    // `ioContext`, `timers` and `clock` must outlive the client.
+    DiscoveryClient(boost::asio::io_context& ioContext, TimerQueue& timers, const Clock& clock,
+                    Options options, UpdateHandler onUpdate);
 
+    // Makes the first call, at once.
     void start() { call(); }
+
+    // Closes all connections. No update is handed on after this.
     void stop();
 
-    // Goes over to discovery at another address. Its versions may be others: it is asked for a snapshot.
+    // Moves to discovery at another address, and requests a snapshot there: its versions may be different.
     void moveTo(const tcp::endpoint& address);
 
 private:
@@ -45,30 +51,31 @@
 
     std::uint64_t knownVersion() const override { return options_.knownVersion; }
     const tcp::endpoint& address() const override { return options_.address; }
-    void onRequested(const WatchStream& stream) override;
-    void onAnswering(const WatchStream& stream) override;
-    void onRequestedAgain(const WatchStream& stream) override;
-    void onSilent(const WatchStream& stream, bool amidList) override;
+    void onRequestSent(const WatchStream& stream) override;
+    void onListStarted(const WatchStream& stream) override;
+    void onWatchRequestSent(const WatchStream& stream) override;
+    void onSilent(const WatchStream& stream, bool isListIncomplete) override;
     void onEnded(const WatchStream& stream) override;
-    void onSnapshot(std::string_view text) override;
-    void onDelta(std::string_view text) override;
+    void onSnapshot(std::string_view document) override;
+    void onChanges(std::string_view document) override;
 
     void call();
-    void callIn(Duration wait);
+    void scheduleCall(Duration delay);
     void closeAll();
-    bool isNewest(const WatchStream& stream) const;
-    EndpointList parse(std::string_view text) const;
-    void accept(const EndpointList& list);
+    bool isNewestPending(const WatchStream& stream) const;
+    EndpointList parse(std::string_view document) const;
+    void applyUpdate(const EndpointList& list);
 
-    boost::asio::io_context& io_;
+    boost::asio::io_context& ioContext_;
     TimerQueue& timers_;
     const Clock& clock_;
     Options options_;
     UpdateHandler onUpdate_;
-    StreamPtr watch_;                 // being answered
-    std::vector<StreamPtr> pending_;  // not answered yet, or no more: two at most, the newest at the back
-    bool stopped_ = false;
-    bool needsSnapshot_ = false;  // no version of this discovery's is known
+    StreamPtr watch_;  // the stream that sends the list; null if there is none
+    std::vector<StreamPtr>
+        pending_;  // calls without an answer, or silent within a list: two at most, in order
+    bool isStopped_ = false;
+    bool needsSnapshot_ = false;  // no version of this discovery's list is known
     TimerQueue::Token nextCall_ = 0;
 };
 
--- a/src/net/discovery/endpoint_list.cpp
+++ b/src/net/discovery/endpoint_list.cpp
@@ -8,12 +8,14 @@
 namespace gateway::net {
 namespace {
 
-// An unknown word gets the number after the last known one: it is like none of the others.
-int positionOf(const std::string& word, const std::vector<std::string>& words) {
-    return static_cast<int>(std::find(words.begin(), words.end(), word) - words.begin());
+constexpr double kMicrosPerMilli = 1e3;
+
+// Returns the name's position. All unknown names share the position after the last one.
+int positionOf(const std::string& name, const std::vector<std::string>& names) {
+    return static_cast<int>(std::find(names.begin(), names.end(), name) - names.begin());
 }
 
-ResolvedEndpoint readEndpoint(const Fields& fields, const EndpointWords& words) {
+ResolvedEndpoint readEndpoint(const Fields& fields, const EndpointVocabulary& vocabulary) {
     ResolvedEndpoint endpoint;
     EndpointEntry& entry = endpoint.entry;
     entry.endpoint = EndpointId(fields.text("name"));
@@ -22,29 +24,29 @@
                                                                 {"terminated", Availability::removed}});
     if (entry.availability != Availability::removed || fields.has("address"))
         endpoint.address = parseAddress(fields.text("address"), "address");
-    if (fields.has("zone")) entry.zone = ZoneId{positionOf(fields.text("zone"), words.zones)};
-    if (fields.has("type")) entry.kind = MachineKind{positionOf(fields.text("type"), words.kinds)};
+    if (fields.has("zone")) entry.zone = ZoneId{positionOf(fields.text("zone"), vocabulary.zones)};
+    if (fields.has("type")) entry.kind = MachineKind{positionOf(fields.text("type"), vocabulary.kinds)};
     entry.cell = CellId{fields.integer("group", 0)};
     entry.weight = fields.number("weight", 1);
-    entry.startedAt = TimePoint(Duration(std::llround(fields.number("since_ms", 0) * 1e3)));
+    entry.startedAt = TimePoint(Duration(std::llround(fields.number("since_ms", 0) * kMicrosPerMilli)));
     return endpoint;
 }
 
 }  // namespace
 
-EndpointList readEndpointList(const Fields& fields, const EndpointWords& words) {
+EndpointList readEndpointList(const Fields& fields, const EndpointVocabulary& vocabulary) {
     EndpointList list;
-    list.index = fields.unsignedInteger("index");
+    list.version = fields.unsignedInteger("index");
     list.isSnapshot = fields.flag("snapshot");
     fields.each("endpoints",
-                [&](const Fields& item) { list.endpoints.push_back(readEndpoint(item, words)); });
+                [&](const Fields& item) { list.endpoints.push_back(readEndpoint(item, vocabulary)); });
     return list;
 }
 
-EndpointList parseEndpointList(std::string_view text, const EndpointWords& words) {
+EndpointList parseEndpointList(std::string_view text, const EndpointVocabulary& vocabulary) {
     return readInput<EndpointListError>([&] {
         const Json document = parseJson(text, "targets");
-        return readEndpointList(Fields(document, "targets"), words);
+        return readEndpointList(Fields(document, "targets"), vocabulary);
     });
 }
 
--- a/src/net/discovery/endpoint_list.h
+++ b/src/net/discovery/endpoint_list.h
@@ -1,9 +1,10 @@
-// Discovery's form of the list of endpoints.
+// Discovery's documents: the endpoint list and changes of it.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
 #include <cstdint>
 #include <string>
+#include <string_view>
 #include <vector>
 
 #include "gateway/events.h"
@@ -11,32 +12,33 @@
 
 namespace gateway::net {
 
-// An endpoint and where it listens.
+// An endpoint and the address where it listens.
 struct ResolvedEndpoint {
     EndpointEntry entry;
-    boost::asio::ip::tcp::endpoint address;  // port 0: no advice, of one that was removed
+    boost::asio::ip::tcp::endpoint address;  // port 0: none was given, as for an endpoint that was removed
 };
 
-// One document of discovery's.
+// One document.
 struct EndpointList {
-    std::uint64_t index = 0;  // version of the list
-    bool isSnapshot = false;  // else what changed since the version that was asked for
+    std::uint64_t version = 0;
+    bool isSnapshot = false;  // false: only the endpoints that changed since the version that is known
     std::vector<ResolvedEndpoint> endpoints;
 };
 
-// The words that lists use for zones and kinds of machine, in the order of the settings.
-struct EndpointWords {
+// The names that documents use for zones and kinds of machine, in the order of the settings. A name's
+// position is its ZoneId or MachineKind.
+struct EndpointVocabulary {
     std::vector<std::string> zones;
     std::vector<std::string> kinds;
 };
 
-// Throws FieldError, naming the place, where the list is malformed.
-EndpointList readEndpointList(const Fields& fields, const EndpointWords& words);
+// Reads a document from its fields. Throws FieldError, with the place, if it is malformed.
+EndpointList readEndpointList(const Fields& fields, const EndpointVocabulary& vocabulary);
 
-// The same from the text of a document. Throws EndpointListError.
-EndpointList parseEndpointList(std::string_view text, const EndpointWords& words);
+// Reads a document from its text. Throws EndpointListError if it is malformed.
+EndpointList parseEndpointList(std::string_view text, const EndpointVocabulary& vocabulary);
 
-// Reads "10.0.0.4:7070". Throws FieldError, naming `place`, where it is no address.
+// Reads an address, for example "10.0.0.4:7070". Throws FieldError for `place` if it is malformed.
 boost::asio::ip::tcp::endpoint parseAddress(const std::string& text, const std::string& place);
 
 }  // namespace gateway::net
--- /dev/null
+++ b/src/net/discovery/poll_schedule.cpp
@@ -0,0 +1,90 @@
+#include "net/discovery/poll_schedule.h"
+
+#include <algorithm>
+
+namespace gateway::net {
+namespace {
+
+using std::chrono::milliseconds;
+
+// The longest period with which a change is known by its deadline.
+constexpr Duration kMaxPeriod = kUpdateDeadline - kMaxCallTime;
+constexpr Duration kMinPeriod = std::chrono::seconds(1);
+constexpr Duration kPeriodAfterSilence = kUpdateDeadline - kMaxSilence - kMaxCallTimeAfterSilence;
+constexpr Duration kPeriodAfterReload = milliseconds(1500);
+constexpr Duration kInitialBackoff = milliseconds(50);
+constexpr Duration kMaxBackoff = milliseconds(200);
+
+}  // namespace
+
+// ---- PollSlots ------------------------------------------------------------------------------------
+
+PollSlots::PollSlots(int gatewayIndex, int gatewayCount)
+    : count_(std::max(gatewayCount, 1)), index_(std::clamp(gatewayIndex, 0, count_ - 1)) {}
+
+Duration PollSlots::untilNext(TimePoint now, Duration period) const {
+    const Duration offset = period * index_ / count_;
+    const Duration sinceSlot = (now.time_since_epoch() - offset) % period;
+    return sinceSlot < Duration::zero() ? -sinceSlot : period - sinceSlot;
+}
+
+// ---- PollSchedule ---------------------------------------------------------------------------------
+
+PollSchedule::PollSchedule(const PollSlots& slots, Duration usualPeriod, std::uint64_t seed)
+    : slots_(slots), usualPeriod_(usualPeriod), backoff_(kInitialBackoff, kMaxBackoff, seed) {}
+
+PollSchedule PollSchedule::push(std::uint64_t seed) {
+    return PollSchedule(PollSlots(0, 1), Duration::zero(), seed);
+}
+
+PollSchedule PollSchedule::poll(int gatewayIndex, int gatewayCount, Duration maxPollInterval,
+                                std::uint64_t seed) {
+    const bool hasLimit = maxPollInterval > Duration::zero();
+    const Duration period = hasLimit ? std::clamp(maxPollInterval, kMinPeriod, kMaxPeriod) : kMaxPeriod;
+    return PollSchedule(PollSlots(gatewayIndex, gatewayCount), period, seed);
+}
+
+Duration PollSchedule::delayAfterStart(TimePoint now) const {
+    return isPolling() ? untilSlot(now, usualPeriod_) : kMaxConnectTime;
+}
+
+Duration PollSchedule::delayAfterRequest(TimePoint now) const {
+    return isPolling() ? untilSlot(now, usualPeriod_) : kMaxSilence;
+}
+
+Duration PollSchedule::delayAfterFailure(TimePoint now) {
+    if (!isPolling()) return backoff_.next();
+    return untilSlot(now, now < urgentUntil_ ? urgentPeriod_ : usualPeriod_);
+}
+
+Duration PollSchedule::delayAfterSilence(TimePoint now) {
+    if (!isPolling()) return Duration::zero();
+    return startUrgentPeriod(now, kUpdateDeadline - kMaxSilence, kPeriodAfterSilence);
+}
+
+Duration PollSchedule::delayAfterReload(TimePoint now) {
+    backoff_.reset();
+    if (!isPolling()) return Duration::zero();
+    return startUrgentPeriod(now, kReloadDeadline, kPeriodAfterReload);
+}
+
+Duration PollSchedule::delayAfterDescriptorShortage() {
+    return backoff_.next();
+}
+
+void PollSchedule::noteListReceived() {
+    backoff_.reset();
+    urgentUntil_ = TimePoint::min();
+}
+
+Duration PollSchedule::startUrgentPeriod(TimePoint now, Duration length, Duration period) {
+    urgentUntil_ = now + length;
+    urgentPeriod_ = period;
+    return untilSlot(now, period);
+}
+
+Duration PollSchedule::untilSlot(TimePoint now, Duration period) const {
+    return slots_.untilNext(now, std::min(period, usualPeriod_));
+}
+
+}  // namespace gateway::net
--- a/src/net/discovery/poll_schedule.h
+++ b/src/net/discovery/poll_schedule.h
@@ -1,7 +1,6 @@
-// When discovery is called, and called again. Arithmetic alone: no sockets, no timers, no clock.
+// When discovery is called next. Arithmetic alone: no sockets, no timers, no clock.
 #pragma once
 
-#include <algorithm>
 #include <cstdint>
 
 #include "net/transport/backoff.h"
@@ -9,102 +8,76 @@
 
 namespace gateway::net {
 
-// What discovery has to tell counts 6 s after it had it and could be reached, 6 s after a watch's last word
-// and 4 s after SIGHUP, whatever became of the calls before. A call that finds it well gets `kMaxCallTime` of
-// that.
+// A change of the endpoint list counts as known after these times, whatever became of the calls in between:
+// counted from when discovery had it and could be reached, and from the last byte of a watch that fell
+// silent,
 constexpr Duration kUpdateDeadline = std::chrono::seconds(6);
+// and from SIGHUP.
 constexpr Duration kReloadDeadline = std::chrono::seconds(4);
+// How much of these times a call to an available discovery takes, at most.
 constexpr Duration kMaxCallTime = std::chrono::milliseconds(1500);
-constexpr Duration kMaxCallTimeAfterSilence = std::chrono::milliseconds(1200);  // its time is shorter
-// A live watch says something every 2 s; so long after its last word it is taken for broken.
+constexpr Duration kMaxCallTimeAfterSilence = std::chrono::milliseconds(1200);
+
+// A live watch sends something every 2 s. After this time without a byte it counts as broken.
 constexpr Duration kMaxSilence = std::chrono::milliseconds(2300);
-// For an agent on the own machine to take a call.
+
+// For an agent on the same machine to accept a call.
 constexpr Duration kMaxConnectTime = std::chrono::seconds(1);
 
-// The moments t with t mod period == period * index / gateways, on the clock that all gateways share: `n` of
-// them call n / period times a second, evenly, without a word between them. Drawn moments would have peaks.
+// A gateway's own times t, at which t mod period == period * index / count on the clock that all gateways
+// share. So a fleet calls at an even rate without coordination; random times would have peaks.
 class PollSlots {
 public:
-    PollSlots(int gatewayIndex, int gatewayCount)
-        : index_(std::clamp(gatewayIndex, 0, std::max(gatewayCount, 1) - 1)),
-          count_(std::max(gatewayCount, 1)) {}
+    // Values out of range are moved into it: `gatewayCount` to 1 or more, `gatewayIndex` to 0 up to
+    // gatewayCount - 1.
+    PollSlots(int gatewayIndex, int gatewayCount);
 
-    // The first own moment after `now`: more than 0 and at most `period` away.
-    Duration until(TimePoint now, Duration period) const {
-        const Duration own = period * index_ / count_;
-        const Duration past = (now.time_since_epoch() - own) % period;
-        return past < Duration::zero() ? -past : period - past;
-    }
+    // Returns the time from `now` to the next slot: more than 0 and at most `period`.
+    Duration untilNext(TimePoint now, Duration period) const;
 
 private:
-    int index_;
     int count_;
+    int index_;
 };
 
-// Each function returns how long from `now` the next call has to wait, if nothing else happens before.
+// Decides how long the next call to discovery waits. Every function returns that time, counted from `now`; it
+// replaces the time that was returned before.
 class PollSchedule {
 public:
-    // An agent on the own machine, at no cost to others: what it gets counts at once.
-    static PollSchedule push(std::uint64_t seed) {
-        return PollSchedule(PollSlots(0, 1), Duration::zero(), seed);
-    }
-    // One service with a queue for all gateways. `maxPollInterval`: the longest that it may go uncalled; 0:
-    // not set.
+    // For an agent on the same machine: calls cost nothing, and what the agent has counts as known at once.
+    static PollSchedule push(std::uint64_t seed);
+
+    // For a service that all gateways poll, with a queue. `maxPollInterval` is the longest time between two
+    // calls of this gateway; 0: no such limit.
     static PollSchedule poll(int gatewayIndex, int gatewayCount, Duration maxPollInterval,
-                             std::uint64_t seed) {
-        constexpr Duration kUsual = kUpdateDeadline - kMaxCallTime;
-        const Duration most =
-            maxPollInterval > Duration::zero() ? std::max(maxPollInterval, kMinPeriod) : kUsual;
-        return PollSchedule(PollSlots(gatewayIndex, gatewayCount), std::min(kUsual, most), seed);
-    }
-
-    // Counted from a call's own beginning, not from when it is given up.
-    Duration afterBegin(TimePoint now) const { return polls() ? slot(now, usual_) : kMaxConnectTime; }
-    // The connection is up and the request written.
-    Duration afterRequest(TimePoint now) const { return polls() ? slot(now, usual_) : kMaxSilence; }
-    // Refused, turned away, broken, or answered with what can't be read.
-    Duration afterEnd(TimePoint now) {
-        if (!polls()) return backoff_.next();
-        return slot(now, now < urgentUntil_ ? urgentPeriod_ : usual_);
-    }
-    // 2.3 s of its term have passed since its last word.
-    Duration afterSilence(TimePoint now) {
-        return polls() ? urgent(now, kUpdateDeadline - kMaxSilence, kSilentPeriod) : Duration::zero();
-    }
-    Duration afterReload(TimePoint now) {
-        backoff_.reset();
-        return polls() ? urgent(now, kReloadDeadline, kReloadPeriod) : Duration::zero();
-    }
-    // There was no descriptor for it: discovery has seen nothing of that call.
-    Duration afterShortage() { return backoff_.next(); }
-    // A list was reported.
-    void onAnswer() {
-        backoff_.reset();
-        urgentUntil_ = TimePoint::min();
-    }
+                             std::uint64_t seed);
+
+    // After a call has started. Does not depend on how the call goes on.
+    Duration delayAfterStart(TimePoint now) const;
+    // After the call was connected and its request written.
+    Duration delayAfterRequest(TimePoint now) const;
+    // After a call failed: refused, rejected, broken, or with an invalid response.
+    Duration delayAfterFailure(TimePoint now);
+    // After a watch has been silent for kMaxSilence.
+    Duration delayAfterSilence(TimePoint now);
+    // After SIGHUP.
+    Duration delayAfterReload(TimePoint now);
+    // After a call failed for want of a descriptor; discovery has not noticed that call.
+    Duration delayAfterDescriptorShortage();
+
+    // A list was received: ends the backoff and the urgent period.
+    void noteListReceived();
 
 private:
-    static constexpr Duration kMinPeriod = std::chrono::seconds(1);
-    static constexpr Duration kSilentPeriod = kUpdateDeadline - kMaxSilence - kMaxCallTimeAfterSilence;
-    static constexpr Duration kReloadPeriod = std::chrono::milliseconds(1500);
-    static constexpr Duration kBackoffInitial = std::chrono::milliseconds(50);
-    static constexpr Duration kBackoffMax = std::chrono::milliseconds(200);
-
-    PollSchedule(const PollSlots& slots, Duration usual, std::uint64_t seed)
-        : slots_(slots), usual_(usual), backoff_(kBackoffInitial, kBackoffMax, seed) {}
-    bool polls() const { return usual_ > Duration::zero(); }
-    // Also one that is turned away comes again so soon while the term lasts.
-    Duration urgent(TimePoint now, Duration term, Duration period) {
-        urgentUntil_ = now + term;
-        urgentPeriod_ = period;
-        return slot(now, period);
-    }
-    Duration slot(TimePoint now, Duration period) const {
-        return slots_.until(now, std::min(period, usual_));
-    }
+    PollSchedule(const PollSlots& slots, Duration usualPeriod, std::uint64_t seed);
+
+    bool isPolling() const { return usualPeriod_ > Duration::zero(); }
+    Duration startUrgentPeriod(TimePoint now, Duration length, Duration period);
+    Duration untilSlot(TimePoint now, Duration period) const;
 
     PollSlots slots_;
-    Duration usual_;  // period; 0: push
+    Duration usualPeriod_;  // 0: push
+    // Until then failed calls are repeated after this period, if it is shorter than the usual one.
     TimePoint urgentUntil_ = TimePoint::min();
     Duration urgentPeriod_{};
     Backoff backoff_;
--- a/src/net/discovery/watch_stream.cpp
+++ b/src/net/discovery/watch_stream.cpp
@@ -1,7 +1,6 @@
 #include "net/discovery/watch_stream.h"
 
 #include <sstream>
-#include <utility>
 
 #include "net/discovery/poll_schedule.h"
 
@@ -13,116 +12,126 @@
 namespace {
 
 constexpr std::size_t kMaxListBytes = 4UL * 1024 * 1024;
-constexpr unsigned kOk = 200;
 
 }  // namespace
 
-WatchStream::WatchStream(boost::asio::io_context& io, Owner& owner, TimerQueue& timers, bool needsSnapshot)
-    : TcpConnection(io), owner_(owner), timers_(timers), needsSnapshot_(needsSnapshot) {}
+WatchStream::WatchStream(boost::asio::io_context& ioContext, WatchStreamObserver& observer,
+                         TimerQueue& timers, bool needsSnapshot)
+    : TcpConnection(ioContext), observer_(observer), timers_(timers), needsSnapshot_(needsSnapshot) {}
+
+// ---- Requests -------------------------------------------------------------------------------------
 
 void WatchStream::onConnected() {
     sendRequest();
-    owner_.onRequested(*this);
+    observer_.onRequestSent(*this);
 }
 
-// The snapshot by a request of its own, then the watch from its version, on the same connection: the changes
-// come in order behind it.
 void WatchStream::sendRequest() {
     parser_.emplace();
-    parser_->body_limit(boost::none);  // a watch lasts; its documents are taken out as they come
+    parser_->body_limit(boost::none);  // a watch has no end; its documents are removed as they come
     parser_->eager(true);
     std::ostringstream request;
     request << "GET /api/targets";
-    if (!needsSnapshot_) request << "?follow=1&since=" << owner_.knownVersion();
-    request << " HTTP/1.1\r\nHost: " << owner_.address() << "\r\n\r\n";
+    if (!needsSnapshot_) request << "?follow=1&since=" << observer_.knownVersion();
+    request << " HTTP/1.1\r\nHost: " << observer_.address() << "\r\n\r\n";
     send(request.str());
 }
 
+// ---- Responses ------------------------------------------------------------------------------------
+
 void WatchStream::onReceived() {
-    heardAt_ = steady_clock::now();
+    lastReceivedAt_ = steady_clock::now();
     while (input().size() > 0) {
+        const std::size_t sizeBefore = input().size();
         error_code ec;
-        const std::size_t before = input().size();
-        if (!takeBytes(ec)) return;
-        if (ec == http::error::need_more) return;
+        const bool goesOn = readInput(ec);
+        if (!goesOn || ec == http::error::need_more) return;
         if (!ec && parser_->is_done() && needsSnapshot_) {
             if (!finishSnapshot()) return;
             continue;
         }
-        if (ec || parser_->is_done()) return end();
-        if (input().size() == before) return;
+        if (ec || parser_->is_done()) {
+            end();
+            return;
+        }
+        if (input().size() == sizeBefore) return;
     }
 }
 
-// Parses what has come and takes out whole documents; false where the stream is over.
-bool WatchStream::takeBytes(error_code& ec) {
+// Reads on in the response and hands on the documents of a watch. Returns false if the stream has ended; `ec`
+// is the parser's result otherwise.
+bool WatchStream::readInput(error_code& ec) {
     const std::size_t used = parser_->put(input().data(), ec);
     input().consume(used);
     if (!parser_->is_header_done()) return true;
-    const auto& body = parser_->get().body();
-    if (parser_->get().result_int() != kOk) {
+    if (parser_->get().result() != http::status::ok) {
         end();
         return false;
     }
-    if (!body.empty()) noteAnswering();
-    if (!needsSnapshot_) takeDocuments();
-    if (body.size() + documents_.held() > kMaxListBytes) {
+    const auto& body = parser_->get().body();
+    if (!body.empty()) noteListStarted();
+    if (!needsSnapshot_) readDocuments();
+    if (body.size() + documents_.pendingBytes() > kMaxListBytes) {
         end();
         return false;
     }
     return isOpen();
 }
 
+// The empty lines between the documents only show that the watch is alive.
+void WatchStream::readDocuments() {
+    documents_.append(parser_->get().body(),
+                      [this](std::string_view document) { observer_.onChanges(document); });
+    parser_->get().body().clear();
+}
+
+// Returns false if the stream has ended.
 bool WatchStream::finishSnapshot() {
-    owner_.onSnapshot(parser_->get().body());
+    observer_.onSnapshot(parser_->get().body());
     needsSnapshot_ = false;
     if (!parser_->keep_alive()) {
         end();
         return false;
     }
     sendRequest();
-    answering_ = false;
-    owner_.onRequestedAgain(*this);
+    isReceivingList_ = false;
+    observer_.onWatchRequestSent(*this);
     return true;
 }
 
-// A status line or a head alone brings nothing: a list behind it may take as long as it would without.
-void WatchStream::noteAnswering() {
-    if (std::exchange(answering_, true)) return;
-    owner_.onAnswering(*this);
-    if (!checkingSilence_) checkSilence();
+// ---- Silence --------------------------------------------------------------------------------------
+
+// A status line or header alone does not count: the list after it may take as long as without it.
+void WatchStream::noteListStarted() {
+    if (isReceivingList_) return;
+    isReceivingList_ = true;
+    observer_.onListStarted(*this);
+    if (!hasSilenceTimer_) checkSilence();
 }
 
-// From the first byte of a list on. A live watch says something every 2 s. One that says nothing may have
-// been cut off with its changes: another is opened. What a silent one misses counts from its last word, so
-// its time runs from there.
+// A watch that is silent may have been cut off, together with its changes. What it misses counts from its
+// last byte, so the time is measured from there.
 void WatchStream::checkSilence() {
-    checkingSilence_ = false;
-    if (!answering_) return;
-    const auto silence = steady_clock::now() - heardAt_;
+    hasSilenceTimer_ = false;
+    if (!isReceivingList_) return;
+    const auto silence = steady_clock::now() - lastReceivedAt_;
     if (silence >= kMaxSilence) {
-        answering_ = false;
-        // Between two documents nothing is lost with the connection; amid one, the rest may yet come.
-        const bool amidList = needsSnapshot_ || documents_.held() > 0;
-        if (!amidList) close();
-        return owner_.onSilent(*this, amidList);
+        isReceivingList_ = false;
+        const bool isListIncomplete = needsSnapshot_ || documents_.pendingBytes() > 0;
+        if (!isListIncomplete) close();
+        observer_.onSilent(*this, isListIncomplete);
+        return;
     }
-    checkingSilence_ = true;
+    hasSilenceTimer_ = true;
     timers_.after(std::chrono::duration_cast<Duration>(kMaxSilence - silence), [weak = weak_from_this()] {
         const auto stream = std::static_pointer_cast<WatchStream>(weak.lock());
         if (stream && stream->isOpen()) stream->checkSilence();
     });
 }
 
-// What stands between the documents only shows that the watch lives.
-void WatchStream::takeDocuments() {
-    documents_.put(parser_->get().body(), [this](std::string_view text) { owner_.onDelta(text); });
-    parser_->get().body().clear();
-}
-
 void WatchStream::end() {
     close();
-    owner_.onEnded(*this);
+    observer_.onEnded(*this);
 }
 
 }  // namespace gateway::net
--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -90,7 +90,7 @@
 }
 
 DiscoveryClient::Options GatewayServer::discoveryOptions() {
-    return {config_.discovery, config_.words, config_.known.index, discoverySchedule(config_),
+    return {config_.discovery, config_.vocabulary, config_.known.version, discoverySchedule(config_),
             [this] { return reclaimDescriptor(); }};
 }
 
