--- /dev/null
+++ b/tests/integration/client_disconnect_during_attempt_test.cpp
@@ -0,0 +1,269 @@
+// Clients that disconnect while an attempt of their request is in flight.
+#include <fstream>
+#include <iomanip>
+#include <sstream>
+#include <string>
+#include <tuple>
+
+#include "integration/client_disconnect_fixture.h"
+
+namespace gateway::net::test {
+namespace {
+
+// The way in which the client disconnects, and whether attempts may be cancelled.
+using DisconnectAndCancellation = std::tuple<Disconnect, bool>;
+
+std::string nameOf(const testing::TestParamInfo<DisconnectAndCancellation>& info) {
+    const auto [disconnect, isCancellationAllowed] = info.param;
+    return testing::PrintToString(disconnect) +
+           (isCancellationAllowed ? "WithCancellation" : "WithoutCancellation");
+}
+
+class DisconnectWhileConnectingTest : public ClientDisconnectFixture,
+                                      public testing::WithParamInterface<DisconnectAndCancellation> {
+protected:
+    static Json settings() {
+        const Json base = withLongDeadlines(defaultSettings());
+        return std::get<bool>(GetParam()) ? base : withoutCancellation(base);
+    }
+    static void disconnectClient(Socket& client) { disconnect(client, std::get<Disconnect>(GetParam())); }
+
+    SaturatedServer saturated;
+    Server counter;
+    const std::string tenant = tenantWithYoungSlice();
+};
+
+INSTANTIATE_TEST_SUITE_P(Ways, DisconnectWhileConnectingTest,
+                         testing::Combine(testing::Values(Disconnect::close, Disconnect::reset,
+                                                          Disconnect::halfClose),
+                                          testing::Bool()),
+                         nameOf);
+
+TEST_P(DisconnectWhileConnectingTest, DoesNotSendWhenClientClosesAsConnectionCompletes) {
+    startGateway(optionsWithEndpoint(saturated, settings()));
+    Socket client = connectClient();
+    client.write(uncountedRequest("gone").text());
+    waitUntilHandled(gateway());  // it is being connected for by then
+    Socket connection;
+    gateway().whileStopped([&] {
+        connection = saturated.acceptPending();
+        disconnectClient(client);
+    });
+    EXPECT_TRUE(connection.waitForClose());
+    expectOnlyNextRequestForwarded({&saturated});
+}
+
+// What was never written is not charged, also where attempts may not be cancelled.
+TEST_P(DisconnectWhileConnectingTest, RefundsAndDoesNotSendWhenClientClosesBeforeConnectionCompletes) {
+    GatewayOptions options = optionsWithEndpoint(saturated, withCounter(settings(), 20));
+    options.counter = counter.address();
+    startGateway(options);
+    Socket client = connectClient();
+    client.write(unsafeRequest("r1").withTenant(tenant).withTimeout(kLongTimeout).text());
+    Socket call = counter.accept();
+    EXPECT_TRUE(contains(call.receiveMessage(), "?add=1&"));
+    call.write(okResponse("2"));
+    waitUntilHandled(gateway());  // it is being connected for by then
+    disconnectClient(client);
+    EXPECT_TRUE(contains(call.receiveMessage(), "?add=-1&"));
+    saturated.accept();
+    call.write(okResponse("1"));
+    Socket other = connectClient();
+    other.write(uncountedRequest("r2").text());
+    Socket connection = saturated.accept();
+    EXPECT_TRUE(isRequest(connection.receiveMessage(), "r2"));
+    connection.write(okResponse("served"));
+    EXPECT_EQ(statusOf(other.receiveMessage()), 200);
+    EXPECT_FALSE(saturated.waitReadable(1500));  // the kernel sends a SYN again after 1 s
+}
+
+// ---- As the attempt fails -------------------------------------------------------------------------------
+
+enum class AttemptFailure { notStarted, serverError, invalidResponse, closed, reset };
+std::ostream& operator<<(std::ostream& out, AttemptFailure failure) {
+    constexpr const char* kNames[] = {"NotStarted", "ServerError", "InvalidResponse", "Closed", "Reset"};
+    return out << kNames[static_cast<std::size_t>(failure)];
+}
+
+// False where the connection to the endpoint stays open.
+bool endsConnection(AttemptFailure failure) {
+    return failure != AttemptFailure::notStarted && failure != AttemptFailure::serverError;
+}
+
+void failAttempt(Socket& connection, AttemptFailure failure) {
+    switch (failure) {
+        case AttemptFailure::notStarted:
+            return connection.write(kNotStartedResponse);
+        case AttemptFailure::serverError:
+            return connection.write("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
+        case AttemptFailure::invalidResponse:
+            return connection.write("noise\r\n\r\n");
+        case AttemptFailure::closed:
+            return connection.close();
+        case AttemptFailure::reset:
+            return connection.reset();
+    }
+}
+
+using DisconnectAndFailure = std::tuple<Disconnect, AttemptFailure>;
+
+std::string nameOfFailure(const testing::TestParamInfo<DisconnectAndFailure>& info) {
+    const auto [disconnect, failure] = info.param;
+    return testing::PrintToString(disconnect) + "After" + testing::PrintToString(failure);
+}
+
+class DisconnectBeforeRetryTest : public ClientDisconnectFixture,
+                                  public testing::WithParamInterface<DisconnectAndFailure> {
+protected:
+    void startGatewayWithTwoEndpoints(Json settings) {
+        GatewayOptions options;
+        options.knownEndpoints = {listedEndpoint("a", endpoint), listedEndpoint("b", otherEndpoint)};
+        options.settings = std::move(settings);
+        startGateway(options);
+    }
+    AttemptAtOneOfTwo sendSafeRequest(const Socket& client) const {
+        client.write(safeRequest("gone").withoutQuota().withTimeout(kLongTimeout).text());
+        return acceptAttemptAtEither(endpoint, otherEndpoint);
+    }
+    // On the attempt's connection too, if that is open.
+    void expectNoRetry(Socket& connection) const {
+        std::vector<Socket*> open;
+        if (!endsConnection(failure())) open.push_back(&connection);
+        expectOnlyNextRequestForwarded({&endpoint, &otherEndpoint}, open);
+    }
+
+    static void disconnectClient(Socket& client) { disconnect(client, std::get<Disconnect>(GetParam())); }
+    static AttemptFailure failure() { return std::get<AttemptFailure>(GetParam()); }
+
+    Server otherEndpoint;
+};
+
+INSTANTIATE_TEST_SUITE_P(
+    Ways, DisconnectBeforeRetryTest,
+    testing::Combine(testing::Values(Disconnect::close, Disconnect::reset, Disconnect::halfClose),
+                     testing::Values(AttemptFailure::notStarted, AttemptFailure::serverError,
+                                     AttemptFailure::invalidResponse, AttemptFailure::closed,
+                                     AttemptFailure::reset)),
+    nameOfFailure);
+
+TEST_P(DisconnectBeforeRetryTest, DoesNotRetryWhenClientClosesAsAttemptFails) {
+    startGatewayWithTwoEndpoints(withLongDeadlines(defaultSettings()));
+    Socket client = connectClient();
+    auto attempt = sendSafeRequest(client);
+    gateway().whileStopped([&] {
+        failAttempt(attempt.connection, failure());
+        disconnectClient(client);
+    });
+    expectNoRetry(attempt.connection);
+}
+
+TEST_P(DisconnectBeforeRetryTest, DoesNotRetryAttemptThatMayNotBeCancelledAndFailsLater) {
+    startGatewayWithTwoEndpoints(withoutCancellation(withLongDeadlines(defaultSettings())));
+    Socket client = connectClient();
+    auto attempt = sendSafeRequest(client);
+    disconnectClient(client);
+    waitUntilHandled(gateway());
+    EXPECT_FALSE(attempt.connection.waitReadable(0));  // it is not cancelled
+    failAttempt(attempt.connection, failure());
+    expectNoRetry(attempt.connection);
+}
+
+// ---- As the connection is refused -----------------------------------------------------------------------
+
+// True while the kernel tries to connect to `port`.
+bool isBeingConnectedTo(unsigned short port) {
+    constexpr const char* kSynSent = "02";
+    std::ostringstream peer;
+    peer << "0100007F:" << std::uppercase << std::hex << std::setw(4) << std::setfill('0') << port;
+    std::ifstream connections("/proc/net/tcp");
+    for (std::string line; std::getline(connections, line);) {
+        std::istringstream fields(line);
+        std::string number;
+        std::string localAddress;
+        std::string peerAddress;
+        std::string state;
+        fields >> number >> localAddress >> peerAddress >> state;
+        if (peerAddress == peer.str() && state == kSynSent) return true;
+    }
+    return false;
+}
+
+class DisconnectAsConnectionIsRefusedTest : public ClientDisconnectFixture,
+                                            public testing::WithParamInterface<Disconnect> {
+protected:
+    void SetUp() override {
+        GatewayOptions options;
+        options.settings = withLongDeadlines(defaultSettings());
+        startGateway(options);
+        watch = gateway().discovery().accept();
+        watch.receiveMessage();
+    }
+    // Returns once the endpoint is in force.
+    void announce(int index, const Json& listed) {
+        watch.write(kChunkedHead + deltaChunk(index, {listed}));
+        watch.close();
+        watch = gateway().discovery().accept();
+        EXPECT_TRUE(contains(watch.receiveMessage(), "since=" + std::to_string(index) + " "));
+    }
+
+    Socket watch;
+};
+
+INSTANTIATE_TEST_SUITE_P(Ways, DisconnectAsConnectionIsRefusedTest,
+                         testing::Values(Disconnect::close, Disconnect::reset, Disconnect::halfClose),
+                         testing::PrintToStringParamName());
+
+TEST_P(DisconnectAsConnectionIsRefusedTest, DoesNotRetry) {
+    // Made after the gateway's process, which would hold its descriptor open otherwise.
+    SaturatedServer refusing;
+    announce(42, listedEndpoint("w", refusing));
+    Socket client = connectClient();
+    client.write(uncountedRequest("gone").text());
+    waitUntilHandled(gateway());
+    ASSERT_TRUE(isBeingConnectedTo(refusing.port()));
+    announce(43, listedEndpoint("v", endpoint));  // where a retry could go
+    gateway().whileStopped([&] {
+        refusing.close();
+        // Until the kernel sends a SYN again, after about 1 s.
+        while (isBeingConnectedTo(refusing.port())) pause(std::chrono::milliseconds(1));
+        disconnect(client, GetParam());
+    });
+    expectOnlyNextRequestForwarded({&endpoint});
+}
+
+// ---- As the endpoint responds ---------------------------------------------------------------------------
+
+class DisconnectDuringAttemptTest : public GatewayTest {};
+
+TEST_F(DisconnectDuringAttemptTest, CancelsAttemptWhenClientCloses) {
+    startGateway();
+    Socket client = connectClient();
+    Socket connection = sendToEndpoint(client, safeRequest("r"));
+    client.close();
+    EXPECT_TRUE(connection.waitForClose());
+}
+
+// A part of a response, or a complete one, comes as the connection to the endpoint is closed.
+TEST_F(DisconnectDuringAttemptTest, DiscardsResponseToCancelledAttempt) {
+    for (const std::string& response : {std::string("HTTP/1.1 200 O"), okResponse("late")}) {
+        SCOPED_TRACE(response);
+        startGateway(withLongDeadlines(defaultSettings()));
+        Socket client = connectClient();
+        Socket connection = sendToEndpoint(client, unsafeRequest("gone").withTimeout(kLongTimeout));
+        gateway().whileStopped([&] {
+            client.close();
+            connection.write(response);
+        });
+        while (connection.readSome()) {
+        }
+        Socket other = connectClient();
+        other.write(unsafeRequest("other").withTimeout(kLongTimeout).text());
+        Socket next = endpoint.accept();
+        EXPECT_TRUE(isRequest(next.receiveMessage(), "other"));
+        next.write(okResponse("its own"));
+        EXPECT_EQ(bodyOf(other.receiveMessage()), "its own");
+    }
+}
+
+}  // namespace
+}  // namespace gateway::net::test
--- /dev/null
+++ b/tests/integration/descriptor_reclaim_test.cpp
@@ -0,0 +1,101 @@
+// Idle clients hold every descriptor, and the gateway still reaches discovery, the counter and endpoints.
+#include <gtest/gtest.h>
+
+#include <list>
+#include <ostream>
+#include <string>
+
+#include "support/gateway_test.h"
+
+namespace gateway::net::test {
+namespace {
+
+struct DescriptorLimits {
+    int configured;  // "limits.sockets"
+    rlim_t system;   // what the system lets the process have
+    std::string discovery;
+};
+std::ostream& operator<<(std::ostream& out, const DescriptorLimits& limits) {
+    return out << (limits.discovery == kPushedDiscovery ? "Push" : "Poll") << limits.configured << "Of"
+               << limits.system;
+}
+
+class DescriptorReclaimTest : public GatewayTest, public testing::WithParamInterface<DescriptorLimits> {
+protected:
+    void SetUp() override {
+        const Json settings = withDiscovery(defaultSettings(), GetParam().discovery, 10);
+        GatewayOptions options = optionsWithEndpoint(endpoint, withCounter(settings, 20));
+        options.maxSockets = GetParam().configured;
+        options.maxDescriptors = GetParam().system;
+        options.timing.maxPartialTime = std::chrono::hours(1);  // silent clients stay, too
+        options.counter = counter.address();
+        options.discovery = discovery.address();
+        startGateway(options);
+        connectMoreClientsThanDescriptors();
+    }
+
+    // Each is answered once and idle from then on; the last ones stay in the accept queue.
+    void connectMoreClientsThanDescriptors() {
+        constexpr int kQueuedClients = 200;
+        for (rlim_t i = 0; i < GetParam().system; ++i) {
+            idleClients.push_back(connectClient());
+            EXPECT_EQ(requestReadiness(idleClients.back()), 200);
+        }
+        for (int i = 0; i < kQueuedClients; ++i) idleClients.push_back(connectClient());
+    }
+
+    Server counter;
+    Server discovery{Server::kRefusing};
+    std::list<Socket> idleClients;
+};
+
+INSTANTIATE_TEST_SUITE_P(Limits, DescriptorReclaimTest,
+                         testing::Values(DescriptorLimits{256, 256, kPushedDiscovery},
+                                         DescriptorLimits{256, 256, kPolledDiscovery},
+                                         DescriptorLimits{1024, 256, kPushedDiscovery},
+                                         DescriptorLimits{1024, 256, kPolledDiscovery},
+                                         DescriptorLimits{4096, 1024, kPushedDiscovery},
+                                         DescriptorLimits{4096, 1024, kPolledDiscovery}),
+                         testing::PrintToStringParamName());
+
+// The deadline is that of a request: both are timed in one process, so a slow machine makes both late.
+TEST_P(DescriptorReclaimTest, CallsDiscoveryInTime) {
+    Socket client = connectClient();
+    client.write(safeRequest("clock").withoutQuota().withTimeout(std::chrono::milliseconds(5900)).text());
+    ASSERT_TRUE(endpoint.waitReadable());  // the request is not answered until its time has run out
+    discovery.listen();
+    EXPECT_NE(statusOf(client.receiveMessage()), 200);
+    ASSERT_TRUE(discovery.waitReadable(0));
+    Socket call = discovery.accept();
+    EXPECT_TRUE(contains(call.receiveMessage(), "since=41 "));
+}
+
+TEST_P(DescriptorReclaimTest, ConnectsToCounterAndEndpointAndAnswersNewClients) {
+    constexpr int kFurtherClients = 20;
+    Socket client = connectClient();
+    EXPECT_EQ(requestReadiness(client), 200);
+    client.write(safeRequest("r").withTenant(tenantWithYoungSlice()).text());
+    Socket call = counter.accept();
+    EXPECT_TRUE(contains(call.receiveMessage(), "?add=1&"));
+    call.write(okResponse("2"));
+    Socket connection = endpoint.accept();
+    EXPECT_TRUE(isRequest(connection.receiveMessage(), "r"));
+    connection.write(okResponse("served"));
+    EXPECT_EQ(statusOf(client.receiveMessage()), 200);
+    for (int i = 0; i < kFurtherClients; ++i) {
+        Socket further = connectClient();
+        EXPECT_EQ(requestReadiness(further), 200);
+    }
+}
+
+TEST_P(DescriptorReclaimTest, ReadsNewConfigurationAndCallsItsDiscovery) {
+    const Server newDiscovery;
+    gateway().reload(newDiscovery);
+    Socket call = newDiscovery.accept();
+    EXPECT_TRUE(contains(call.receiveMessage(), "GET /api/targets HTTP/1.1\r\n"));
+    call.write(okResponse(snapshotDocument(3, {})));
+    EXPECT_TRUE(contains(call.receiveMessage(), "since=3 "));
+}
+
+}  // namespace
+}  // namespace gateway::net::test
--- /dev/null
+++ b/tests/integration/graceful_shutdown_test.cpp
@@ -0,0 +1,157 @@
+// SIGTERM: what a gateway still serves, and how it ends.
+#include <gtest/gtest.h>
+
+#include <optional>
+#include <stdexcept>
+#include <string>
+
+#include "support/gateway_test.h"
+
+namespace gateway::net::test {
+namespace {
+
+class GracefulShutdownTest : public GatewayTest {
+protected:
+    // Listens for ever after SIGTERM, and closes idle connections at once.
+    void startGatewayThatKeepsListening(Json settings = defaultSettings()) {
+        GatewayOptions options = optionsWithEndpoint(endpoint, std::move(settings));
+        options.timing.listenAfterShutdown = std::chrono::hours(1);
+        options.timing.idleGracePeriod = std::chrono::milliseconds(1);
+        startGateway(options);
+    }
+
+    static void expectFinalResponse(Socket& client) {
+        const std::string response = client.receiveMessage();
+        EXPECT_EQ(statusOf(response), 200);
+        EXPECT_TRUE(contains(response, "Connection: close"));
+    }
+};
+
+TEST_F(GracefulShutdownTest, AnswersAcceptedRequestsAndExitsWithZero) {
+    startGateway();
+    Socket client = connectClient();
+    Socket idle = connectClient();
+    EXPECT_EQ(requestReadiness(idle), 200);
+    const Socket connection = sendToEndpoint(client, safeRequest("r1"));
+    gateway().terminate();
+    int status = 200;
+    while (status == 200) {  // until the signal has been handled
+        Socket probe = connectClient();
+        status = requestReadiness(probe);
+    }
+    EXPECT_EQ(status, 503);
+    Socket late = connectClient();  // it still listens
+    const Socket lateConnection = sendToEndpoint(late, safeRequest("r2"));
+    EXPECT_TRUE(idle.waitForClose());
+    lateConnection.write(okResponse("two"));
+    connection.write(okResponse("one"));
+    for (Socket* served : {&client, &late}) {
+        expectFinalResponse(*served);
+        served->close();
+    }
+    EXPECT_EQ(gateway().waitForExit(), 0);
+}
+
+// A client whose request crosses the end of its idle connection sends it once more, and must be accepted.
+TEST_F(GracefulShutdownTest, ClosesIdleConnectionsWhileItStillListens) {
+    startGatewayThatKeepsListening();
+    Socket idle = connectClient();
+    EXPECT_EQ(requestReadiness(idle), 200);
+    gateway().terminate();
+    EXPECT_TRUE(idle.waitForClose());
+    Socket again = connectClient();
+    sendToEndpoint(again, unsafeRequest("r")).write(okResponse("served"));
+    expectFinalResponse(again);
+}
+
+// A request and SIGTERM are found together. What comes after the gateway has ended its sending side is not
+// forwarded, whether that end followed a response or idleness.
+TEST_F(GracefulShutdownTest, AnswersRequestThatArrivesWithSignalAndDiscardsLaterOnes) {
+    const auto longRequest = [](const char* id) { return unsafeRequest(id).withTimeout(kLongTimeout); };
+    startGatewayThatKeepsListening(withLongDeadlines(defaultSettings()));
+    Socket used = connectClient();
+    Socket idle = connectClient();
+    EXPECT_EQ(requestReadiness(used), 200);
+    EXPECT_EQ(requestReadiness(idle), 200);
+    gateway().whileStopped([&] {
+        used.write(longRequest("with").text());
+        gateway().terminate();
+    });
+    Socket connection = endpoint.accept();
+    EXPECT_TRUE(isRequest(connection.receiveMessage(), "with"));
+    EXPECT_TRUE(idle.waitForClose());
+    connection.write(okResponse("served"));
+    expectFinalResponse(used);
+    EXPECT_TRUE(used.waitForClose());
+    for (const Socket* late : {&used, &idle}) {
+        try {
+            late->write(longRequest("late").text());
+        } catch (const std::runtime_error&) {  // the gateway has closed it, not only its sending side
+        }
+    }
+    Socket other = connectClient();
+    other.write(longRequest("other").text());
+    EXPECT_TRUE(isRequest(connection.receiveMessage(), "other"));
+    connection.write(okResponse("served"));
+    EXPECT_EQ(statusOf(other.receiveMessage()), 200);
+    EXPECT_FALSE(endpoint.waitReadable(0));
+}
+
+// The addresses change as they do before SIGTERM, and the requests in flight are answered.
+TEST_F(GracefulShutdownTest, IgnoresInvalidReloadAndAppliesValidOneWhileDraining) {
+    const Server newDiscovery;
+    startGateway();
+    Socket watch = gateway().discovery().accept();
+    watch.receiveMessage();
+    Socket client = connectClient();
+    Socket probe = connectClient();
+    const Socket connection = sendToEndpoint(client, unsafeRequest("r"));
+    gateway().terminate();
+    waitUntilNotReady(probe);
+    gateway().reload("{\"discovery\": 7");
+    gateway().reload(newDiscovery);
+    EXPECT_TRUE(contains(newDiscovery.accept().receiveMessage(), "GET /api/targets HTTP/1.1"));
+    EXPECT_TRUE(watch.waitForClose());
+    connection.write(okResponse("served"));
+    EXPECT_EQ(statusOf(client.receiveMessage()), 200);
+    client.close();
+    EXPECT_EQ(gateway().waitForExit(), 0);
+}
+
+// The reconciliation is sent some time after the response that causes it, when no client is left.
+TEST_F(GracefulShutdownTest, SendsReconciliationOfLastResponseBeforeExit) {
+    const Server counter;
+    Json settings = withCounter(withLongDeadlines(defaultSettings()), 20);
+    settings["domain"]["postPaid"] = true;
+    // Slices of half a second.
+    settings["contracts"][0] = {{"name", "team"}, {"perSecond", 8}, {"depth", 4}};
+    GatewayOptions options = optionsWithEndpoint(endpoint, settings);
+    options.counter = counter.address();
+    options.timing.listenAfterShutdown = std::chrono::milliseconds(1);
+    options.timing.idleGracePeriod = std::chrono::milliseconds(1);
+    startGateway(options);
+    Socket client = connectClient();
+    client.write(safeRequest("r").withTimeout(kLongTimeout).text());
+    Socket call = counter.accept();
+    EXPECT_TRUE(contains(call.receiveMessage(), "?add=1&"));
+    call.write(okResponse("2"));
+    const Socket connection = acceptAttempt(endpoint);
+    gateway().terminate();
+    EXPECT_THROW(for (;;) connectClient(), std::runtime_error);  // until it does not listen any more
+    connection.write(okResponse("served", "X-Settled: 3\r\n"));
+    EXPECT_EQ(statusOf(client.receiveMessage()), 200);
+    client.close();
+    // The current slice is another one by now. Its name, and so the connection for it, may be others too.
+    std::optional<std::string> reconciliation;
+    while (!reconciliation) {
+        if (waitForReadable({&call, &counter}).back() == &counter) call = counter.accept();
+        reconciliation = call.receiveMessageOrEnd();
+        if (!reconciliation) call.close();
+    }
+    EXPECT_TRUE(contains(*reconciliation, "?add=2&")) << *reconciliation;
+    call.write(okResponse("2"));
+    EXPECT_EQ(gateway().waitForExit(), 0);
+}
+
+}  // namespace
+}  // namespace gateway::net::test
--- /dev/null
+++ b/tests/integration/pipelining_test.cpp
@@ -0,0 +1,174 @@
+// Clients that send requests, or other bytes, ahead of the response that they wait for.
+#include <gtest/gtest.h>
+
+#include <stdexcept>
+#include <string>
+
+#include "support/gateway_test.h"
+
+namespace gateway::net::test {
+namespace {
+
+class PipeliningTest : public GatewayTest {
+protected:
+    void SetUp() override { startGateway(withLongDeadlines(defaultSettings())); }
+
+    static RequestSpec longRequest(const std::string& id) {
+        return unsafeRequest(id).withTimeout(kLongTimeout);
+    }
+    static RequestSpec largeRequest(const std::string& id) {
+        return longRequest(id).withBody(std::string(30'000, 'x'));
+    }
+};
+
+// The time of a request counts from its arrival, not from the response to the request before it.
+TEST_F(PipeliningTest, CountsTimeoutFromArrivalOfRequest) {
+    using std::chrono::milliseconds;
+    constexpr milliseconds kHold{600};
+    Socket client = connectClient();
+    const auto request = [](const char* id) { return safeRequest(id).withTimeout(kLongTimeout).text(); };
+    client.write(request("r1") + request("r2"));
+    Socket connection = endpoint.accept();
+    EXPECT_TRUE(isRequest(connection.receiveMessage(), "r1"));
+    pause(kHold);
+    client.write(request("r3"));
+    waitUntilHandled(gateway());  // r3 has been read by now
+    pause(kHold);
+    for (const auto& [id, held] : {std::pair("r2", 2 * kHold), std::pair("r3", kHold)}) {
+        connection.write(okResponse("x"));
+        EXPECT_EQ(statusOf(client.receiveMessage()), 200);
+        const std::string forwarded = connection.receiveMessage();
+        EXPECT_TRUE(isRequest(forwarded, id)) << forwarded;
+        EXPECT_LE(announcedTimeout(forwarded), kLongTimeout - held) << forwarded;
+    }
+}
+
+// The next read has begun by the time the pipelined requests are taken out of the buffer.
+TEST_F(PipeliningTest, ReadsRequestsThatFollowPipelinedOnes) {
+    Socket client = connectClient();
+    client.write(longRequest("r1").text() + longRequest("r2").text());
+    Socket connection = endpoint.accept();
+    for (const std::string id : {"r1", "r2", "r3", "r4"}) {
+        const std::string forwarded = connection.receiveMessage();
+        EXPECT_TRUE(isRequest(forwarded, id)) << id << ": " << forwarded;
+        connection.write(okResponse(id));
+        EXPECT_EQ(bodyOf(client.receiveMessage()), id);
+        if (id == "r2") client.write(longRequest("r3").text());
+        if (id == "r3") client.write(longRequest("r4").text());
+    }
+}
+
+TEST_F(PipeliningTest, AnswersHundredsOfRequestsInOrder) {
+    constexpr int kRequests = 200;
+    Socket client = connectClient();
+    std::string requests;
+    for (int i = 0; i < kRequests; ++i)
+        requests += safeRequest("r" + std::to_string(i)).withoutQuota().withTimeout(kLongTimeout).text();
+    client.write(requests);
+    Socket connection = endpoint.accept();
+    for (int i = 0; i < kRequests; ++i) {
+        EXPECT_TRUE(isRequest(connection.receiveMessage(), "r" + std::to_string(i)));
+        connection.write(okResponse(std::to_string(i)));
+        EXPECT_EQ(bodyOf(client.receiveMessage()), std::to_string(i));
+    }
+    EXPECT_EQ(requestReadiness(client), 200);
+}
+
+// The same bytes behind which a client has disconnected are not forwarded: see ClientDisconnectTest.
+TEST_F(PipeliningTest, ServesLargeRequestBehindAnother) {
+    Socket connection = openIdleConnection();
+    Socket client = connectClient();
+    waitUntilHandled(gateway());
+    gateway().whileStopped([&] {
+        client.write(longRequest("r1").withoutQuota().text() + largeRequest("r2").withoutQuota().text());
+    });
+    for (const std::string id : {"r1", "r2"}) {
+        EXPECT_TRUE(isRequest(connection.receiveMessage(), id));
+        connection.write(okResponse(id));
+        EXPECT_EQ(bodyOf(client.receiveMessage()), id);
+    }
+}
+
+// Of more bytes than the gateway keeps for one connection, the requests that it has are answered; then the
+// connection ends.
+TEST_F(PipeliningTest, AnswersRequestsWithinLimitOfPipelinedBytes) {
+    Socket client = connectClient();
+    // Far more than the kernel holds: once it is written the gateway has read past its limit.
+    for (int i = 0; i < 1000; ++i) client.write(largeRequest("r" + std::to_string(i)).text());
+    Socket connection = endpoint.accept();
+    EXPECT_TRUE(isRequest(connection.receiveMessage(), "r0"));
+    int answered = 0;
+    for (;; ++answered) {
+        connection.write(okResponse(std::to_string(answered)));
+        const auto response = client.receiveMessageOrEnd();
+        if (!response) break;
+        EXPECT_EQ(bodyOf(*response), std::to_string(answered));
+        if (waitForReadable({&connection, &client}).front() != &connection) {
+            ++answered;
+            break;
+        }
+        EXPECT_TRUE(isRequest(connection.receiveMessage(), "r" + std::to_string(answered + 1)));
+    }
+    EXPECT_GE(answered, 3);  // within 96 KiB
+    EXPECT_TRUE(client.waitForClose());
+}
+
+TEST_F(PipeliningTest, AnswersPipelinedRequestsThatPrecedeShutdown) {
+    Socket client = connectClient();
+    Socket probe = connectClient();
+    client.write(longRequest("r0").text() + longRequest("r1").text() + longRequest("r2").text());
+    Socket connection = endpoint.accept();
+    EXPECT_TRUE(isRequest(connection.receiveMessage(), "r0"));
+    gateway().terminate();
+    waitUntilNotReady(probe);
+    for (const std::string next : {"r1", "r2", ""}) {
+        const bool isLast = next.empty();
+        connection.write(okResponse("x"));
+        const std::string response = client.receiveMessage();
+        EXPECT_EQ(statusOf(response), 200);
+        EXPECT_EQ(contains(response, "Connection: close"), isLast) << "before " << next;
+        if (!isLast) {
+            EXPECT_TRUE(isRequest(connection.receiveMessage(), next));
+        }
+    }
+    EXPECT_TRUE(client.waitForClose());
+    client.close();
+    probe.close();
+    EXPECT_EQ(gateway().waitForExit(), 0);
+}
+
+// No reset overtakes the response, however much comes that is not read any more.
+TEST_F(PipeliningTest, DeliversFinalResponseWhileClientKeepsSending) {
+    Socket client = connectClient();
+    client.write(replaced(longRequest("r").text(), "\r\n", "\r\nConnection: close\r\n"));
+    const Socket connection = acceptAttempt(endpoint);
+    const std::string body(60'000, 'b');
+    gateway().whileStopped([&] {
+        connection.write(okResponse(body));
+        client.write(std::string(50'000, 'x'));
+    });
+    EXPECT_TRUE(bodyOf(client.receiveMessage()) == body);  // too long to print
+}
+
+// Invalid bytes, and then a close or a reset.
+TEST_F(PipeliningTest, ServesOthersAfterFloodsOfInvalidBytes) {
+    const std::string lines(2'000'000, '\n');
+    for (const std::string& flood : {"nonsense\r\n\r\n" + lines, std::string(100'000, 'x')}) {
+        for (const bool reset : {false, true, false, true}) {
+            Socket flooding = connectClient();
+            try {
+                flooding.write(flood);
+            } catch (const std::runtime_error&) {  // the gateway has ended the connection
+            }
+            reset ? flooding.reset() : flooding.close();
+        }
+    }
+    Socket client = connectClient();
+    const Socket connection = sendToEndpoint(client, safeRequest("r").withTimeout(kLongTimeout));
+    connection.write(okResponse("served"));
+    EXPECT_EQ(bodyOf(client.receiveMessage()), "served");
+    EXPECT_FALSE(endpoint.waitReadable(0));
+}
+
+}  // namespace
+}  // namespace gateway::net::test
--- /dev/null
+++ b/tests/integration/upstream_connect_test.cpp
@@ -0,0 +1,147 @@
+// Connections to endpoints that complete late, or never.
+#include <gtest/gtest.h>
+
+#include <functional>
+#include <string>
+
+#include "support/gateway_test.h"
+
+namespace gateway::net::test {
+namespace {
+
+Json longDeadlines() {
+    return withLongDeadlines(defaultSettings());
+}
+
+// ---- Retries whose connection completes late ------------------------------------------------------------
+
+// One attempt that fails at `endpoint`, and its retry at a server whose connection completes late.
+class LateRetry {
+public:
+    explicit LateRetry(Json settings)
+        : gateway_(optionsWithEndpoint(endpoint_, std::move(settings))),
+          watch_(gateway_.discovery().accept()) {
+        watch_.receiveMessage();
+    }
+
+    // Sends `request` and ends its first attempt by `fail`, once the saturated server is the only endpoint
+    // left. False where the request was answered without a retry.
+    bool beginRetry(const RequestSpec& request, const std::function<void(Socket&)>& fail) {
+        client.write(request.text());
+        Socket connection = acceptAttempt(endpoint_);
+        watch_.write(kChunkedHead + snapshotChunk(42, {listedEndpoint("full", saturated_)}));
+        watch_.close();
+        watch_ = gateway_.discovery().accept();  // the list is in force by then
+        fail(connection);
+        waitUntilHandled(gateway_);
+        return !client.waitReadable(0);
+    }
+
+    Socket completeConnection() const { return saturated_.acceptPending(); }
+
+private:
+    Server endpoint_;
+    SaturatedServer saturated_;
+    GatewayProcess gateway_;
+    Socket watch_;
+
+public:
+    Socket client = gateway_.connectClient();
+};
+
+class LateRetryTest : public testing::Test {};
+
+TEST_F(LateRetryTest, ForwardsRemainingTimeoutWhenConnectionCompletes) {
+    LateRetry retry(longDeadlines());
+    ASSERT_TRUE(retry.beginRetry(unsafeRequest("r").withTimeout(kLongTimeout),
+                                 [](Socket& connection) { connection.write(kNotStartedResponse); }));
+    pause(std::chrono::milliseconds(500));
+    Socket connection = retry.completeConnection();
+    EXPECT_LE(announcedTimeout(connection.receiveMessage()), kLongTimeout - std::chrono::milliseconds(500));
+    connection.write(okResponse("served"));
+    EXPECT_EQ(statusOf(retry.client.receiveMessage()), 200);
+}
+
+TEST_F(LateRetryTest, SendsKeyedRetryWithinIdempotencyWindow) {
+    Json settings = longDeadlines();
+    settings["classes"][1]["windowS"] = 400;
+    LateRetry retry(settings);
+    ASSERT_TRUE(retry.beginRetry(keyedRequest("r").withTimeout(kLongTimeout),
+                                 [](Socket& connection) { connection.reset(); }));
+    Socket connection = retry.completeConnection();
+    EXPECT_TRUE(contains(connection.receiveMessage(), "Idempotency-Key: k-r\r\n"));
+    connection.write(okResponse("served"));
+    EXPECT_EQ(statusOf(retry.client.receiveMessage()), 200);
+}
+
+// By the value of the setting "group".
+class LateRetryWithKeyTest : public testing::TestWithParam<std::string> {};
+
+INSTANTIATE_TEST_SUITE_P(DeduplicationScopes, LateRetryWithKeyTest, testing::Values("all", "zone", "cell"),
+                         [](const auto& parameter) { return parameter.param; });
+
+TEST_P(LateRetryWithKeyTest, IsNotSentAfterIdempotencyWindow) {
+    // On a machine so slow that the window is over before the retry begins, a longer one is tried.
+    for (double windowSeconds = 1;; windowSeconds *= 3) {
+        ASSERT_LT(windowSeconds, 30);
+        Json settings = longDeadlines();
+        settings["classes"][1]["windowS"] = windowSeconds;
+        settings["classes"][1]["group"] = GetParam();
+        LateRetry retry(settings);
+        if (!retry.beginRetry(keyedRequest("r").withTimeout(kLongTimeout),
+                              [](Socket& connection) { connection.reset(); }))
+            continue;
+        pause(std::chrono::milliseconds(static_cast<int>(windowSeconds * 1000)));
+        Socket connection = retry.completeConnection();
+        EXPECT_TRUE(connection.waitForClose());
+        // The first attempt may have run, and a repeat of the client would run again: no rejection.
+        const int status = statusOf(retry.client.receiveMessage());
+        EXPECT_NE(status, 200);
+        EXPECT_NE(status, 429);
+        EXPECT_NE(status, 503);
+        return;
+    }
+}
+
+// ---- First attempts -------------------------------------------------------------------------------------
+
+class UpstreamConnectTest : public GatewayTest {
+protected:
+    SaturatedServer saturated;
+};
+
+// Whichever endpoint is tried first, the connection that does not complete costs its time limit and no
+// request.
+TEST_F(UpstreamConnectTest, RetriesOnAnotherEndpointAfterConnectTimeout) {
+    GatewayOptions options;
+    options.knownEndpoints = {listedEndpoint("full", saturated), listedEndpoint("w", endpoint)};
+    options.settings = longDeadlines();
+    options.settings["allowed"]["dialTimeoutS"] = 0.2;
+    startGateway(options);
+    Socket connection;
+    for (const std::string id : {"r0", "r1", "r2", "r3"}) {
+        Socket client = connectClient();
+        client.write(unsafeRequest(id).withoutQuota().withTimeout(kLongTimeout).text());
+        if (connection.fd() < 0) connection = endpoint.accept();
+        EXPECT_TRUE(isRequest(connection.receiveMessage(), id));
+        connection.write(okResponse("served"));
+        EXPECT_EQ(statusOf(client.receiveMessage()), 200);
+    }
+}
+
+TEST_F(UpstreamConnectTest, DoesNotSendToEndpointThatStartedDrainingWhileConnecting) {
+    startGateway(optionsWithEndpoint(saturated));
+    Socket watch = gateway().discovery().accept();
+    watch.receiveMessage();
+    watch.write(kChunkedHead);
+    Socket client = connectClient();
+    client.write(unsafeRequest("r").text());
+    waitUntilHandled(gateway());
+    watch.write(deltaChunk(60, {listedEndpoint("w", saturated, "terminating")}));
+    Socket connection = saturated.acceptPending();  // past the grace period of a draining endpoint
+    EXPECT_TRUE(connection.waitForClose());
+    EXPECT_EQ(statusOf(client.receiveMessage()), 429);  // it did not run
+}
+
+}  // namespace
+}  // namespace gateway::net::test
--- a/tests/net/config/config_test.cpp
+++ b/tests/net/config/config_test.cpp
@@ -6,7 +6,7 @@
 #include <list>
 #include <memory>
 
-#include "support/gateway_process.h"
+#include "support/gateway_test.h"
 
 namespace gateway::net::test {
 namespace {
@@ -20,19 +20,21 @@
         }
         return "";
     };
-    Json config{
-        {"listen", "127.0.0.1:0"}, {"discovery", "127.0.0.1:1"}, {"seed", "1"}, {"settings", settings()}};
+    Json config{{"listen", "127.0.0.1:0"},
+                {"discovery", "127.0.0.1:1"},
+                {"seed", "1"},
+                {"settings", defaultSettings()}};
     EXPECT_EQ(complaint(config.dump()), "");
-    EXPECT_TRUE(has(complaint("{"), "not JSON"));
+    EXPECT_TRUE(contains(complaint("{"), "not JSON"));
     Json bad = config;
     bad["listen"] = "here";
-    EXPECT_TRUE(has(complaint(bad.dump()), "EDGE_LISTEN"));
+    EXPECT_TRUE(contains(complaint(bad.dump()), "EDGE_LISTEN"));
     bad = config;
     bad["settings"].erase("classes");
-    EXPECT_TRUE(has(complaint(bad.dump()), "config.settings.classes"));
+    EXPECT_TRUE(contains(complaint(bad.dump()), "config.settings.classes"));
     bad = config;
     bad["settings"]["domain"]["mayCount"] = true;
-    EXPECT_TRUE(has(complaint(bad.dump()), "counter"));
+    EXPECT_TRUE(contains(complaint(bad.dump()), "counter"));
 }
 
 }  // namespace
--- a/tests/net/discovery/discovery_client_test.cpp
+++ b/tests/net/discovery/discovery_client_test.cpp
@@ -1,398 +1,275 @@
-// Calls to discovery and what becomes of them, on sockets.
+// The calls of a gateway process to discovery: when the next one follows, and which of two is kept.
 #include <gtest/gtest.h>
-#include <poll.h>
 
-#include <algorithm>
-#include <array>
-#include <deque>
-#include <functional>
 #include <list>
-#include <memory>
-#include <random>
-#include <set>
 #include <string>
 #include <vector>
 
-#include "net/discovery/poll_schedule.h"
-#include "support/gateway_process.h"
+#include "support/failing_discovery.h"
+#include "support/gateway_test.h"
 
 namespace gateway::net::test {
 namespace {
 
-using std::chrono::milliseconds;
-using std::chrono::seconds;
+const std::string kSnapshotRequest = "GET /api/targets HTTP/1.1\r\n";
 
-const std::string kHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-const std::string kTurnedAway = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
+// ---- A gateway and what it learns -----------------------------------------------------------------------
 
-Json settingsOf(const std::string& discovery) {
-    Json s = settings();
-    s["discovery"] = discovery;
-    s["rules"]["mustAskInS"] = 3600;  // allows all waits that anybody might think of
-    return s;
-}
-
-std::string wholeList(int index, const Targets& endpoints) {
-    return Json{{"index", index}, {"snapshot", true}, {"endpoints", endpoints}}.dump();
-}
-
-// A gateway that knows one endpoint, which holds all it gets, and a second one that only discovery
-// can tell it of.
-struct Site {
-    explicit Site(const std::string& how, Server* discovery = nullptr)
-        : gateway(Targets{target("held", held)}, settingsOf(how), [&](Json& c) {
-              if (discovery != nullptr) c["discovery"] = discovery->address();
-          }) {}
-
-    // Answers a call with a list that names the second one alone, and waits until that is served.
-    void answer(Socket& call, int index) {
-        call.write(kHead + listLine(index, true, {target("told", told)}));
-        expectTold();
+// A gateway that knows one endpoint, which does not respond, and another endpoint, which it can only learn of
+// from discovery.
+class ObservedGateway {
+public:
+    // `discovery`: where it is, unless the gateway has its own.
+    explicit ObservedGateway(const std::string& mode, const Server* discovery = nullptr)
+        : gateway(optionsFor(mode, discovery)) {}
+
+    // Answers a call with a list of the new endpoint alone, and waits until it is in force.
+    void answer(const Socket& call, int index) {
+        call.write(kChunkedHead + snapshotChunk(index, {newEntry()}));
+        expectNewEndpointInForce();
     }
-    // Waits until a request goes to the second one, so the list that names it is in force.
-    void expectTold() {
-        for (int i = 0; i < 100; ++i) {
-            Socket client = gateway.client();
-            std::string free = request("load", "t" + std::to_string(++polled), 1000);
-            client.write(free.replace(free.find("team"), 4, "free"));  // no quota
-            pollfd either[2] = {{client.fd(), POLLIN, 0}, {told.fd(), POLLIN, 0}};
-            if (::poll(either, 2, kTestTimeoutMs) <= 0) break;
-            if (either[1].revents == 0) continue;
-            Socket at = told.accept();
-            at.message();
+
+    // Waits until a request is forwarded to the new endpoint.
+    void expectNewEndpointInForce() {
+        constexpr int kMaxRequests = 100;
+        for (int i = 0; i < kMaxRequests; ++i) {
+            Socket client = gateway.connectClient();
+            const std::string id = "t" + std::to_string(++requests_);
+            client.write(safeRequest(id).withoutQuota().withTimeout(std::chrono::seconds(1)).text());
+            if (waitForReadable({&client, &newEndpoint_}).back() != &newEndpoint_) continue;
+            acceptAttempt(newEndpoint_);
             return;
         }
         ADD_FAILURE() << "the list is not in force";
     }
 
-    Server held, told;
-    GatewayProcess gateway;
-    int polled = 0;
-};
-
-// Ends of a call, by what its peer does with it.
-const std::vector<std::string> kCallEnds = {"closed", "503", "cut", "unanswered", "refused", "notUp"};
+    Json knownEntry() const { return listedEndpoint("known", knownEndpoint_); }
+    Json newEntry() const { return listedEndpoint("new", newEndpoint_); }
 
-// A discovery whose calls end in one of these ways until a moment from which on it can be reached.
-class Failing {
-public:
-    explicit Failing(const std::string& end)
-        : how(end),
-          server(end == "refused" ? Server::kRefusing
-                 : end == "notUp" ? 0
-                                  : 64) {
-        if (end == "notUp") plug_ = connectTo(server.port);  // its queue takes one: no other comes up
-    }
-
-    // `path`: what a call has to ask for.
-    void fail(const std::string& path) {
-        if (how == "refused") {
-            ::poll(nullptr, 0, 2000);  // the first call has been made by then
-            return server.listen();
-        }
-        if (how == "notUp") {
-            server.accept();
-            return;
-        }
-        call_ = server.accept();
-        EXPECT_TRUE(has(call_.message(), path)) << how;
-        if (how == "503") call_.write(kTurnedAway);
-        if (how == "cut") call_.write(kHead + chunk(wholeList(77, {}).substr(0, 20)));
-        if (how != "unanswered") call_.close();
-    }
-    // A call that is still open, of all that were made: it asks for `path`.
-    Socket openCall(const std::string& path) {
-        for (;;) {
-            Socket call = server.accept();
-            const auto text = call.readMessage();
-            if (!text || call.waitReadable(0)) continue;  // given up meanwhile
-            EXPECT_TRUE(has(*text, path)) << how;
-            return call;
-        }
+private:
+    GatewayOptions optionsFor(const std::string& mode, const Server* discovery) const {
+        GatewayOptions options;
+        options.knownEndpoints = {knownEntry()};
+        // An interval that allows all waits.
+        options.settings = withDiscovery(defaultSettings(), mode, 3600);
+        if (discovery != nullptr) options.discovery = discovery->address();
+        return options;
     }
 
-    std::string how;
-    Server server;
+    Server knownEndpoint_;
+    Server newEndpoint_;
+    int requests_ = 0;
 
-private:
-    Socket plug_, call_;
+public:
+    GatewayProcess gateway;
 };
 
-class DiscoveryCalls : public testing::TestWithParam<std::string> {
+// By the mode of discovery.
+class DiscoveryClientTest : public testing::TestWithParam<std::string> {
 protected:
-    bool polls() const { return GetParam() == "ask"; }
-    // Less than what has to pass until a change counts; more than what a call may wait for its moment.
-    int within() const { return polls() ? 5900 : 3900; }
+    bool isPolled() const { return GetParam() == kPolledDiscovery; }
 
-    // Lets the calls of each site end in its own way, and expects the next one before a request that came at
-    // that moment has run out: both are timed in one process, so a slow machine makes both late.
-    void expectCalledAgain(std::list<Failing>& failing, std::list<Site>& sites, const std::string& path) {
+    static Socket acceptCall(ObservedGateway& observed) {
+        Socket call = observed.gateway.discovery().accept();
+        call.receiveMessage();
+        return call;
+    }
+
+    // Lets the call of each gateway fail in its own way, and expects the next one before a request that came
+    // at that moment has run out of time: both are timed in one process, so a slow machine makes both late.
+    void expectCalledAgain(std::list<FailingDiscovery>& discoveries, std::list<ObservedGateway>& gateways,
+                           const std::string& path) const {
+        // Less than what may pass until a change must be known; more than a call may wait for its slot.
+        const std::chrono::milliseconds limit(isPolled() ? 5900 : 3900);
         std::vector<Socket> clients;
-        auto site = sites.begin();
-        for (Failing& f : failing) {
-            f.fail(path);
-            clients.push_back((site++)->gateway.client());
-            clients.back().write(request("load", "clock", within()));
+        auto observed = gateways.begin();
+        for (FailingDiscovery& discovery : discoveries) {
+            discovery.failCall(path);
+            clients.push_back((observed++)->gateway.connectClient());
+            clients.back().write(safeRequest("clock").withTimeout(limit).text());
         }
         auto client = clients.begin();
-        for (Failing& f : failing) {
-            EXPECT_NE(statusOf((client++)->message()), 200) << f.how;
-            EXPECT_TRUE(f.server.waitReadable(0)) << f.how;
+        for (const FailingDiscovery& discovery : discoveries) {
+            EXPECT_NE(statusOf((client++)->receiveMessage()), 200) << discovery.failure();
+            EXPECT_TRUE(discovery.server().waitReadable(0)) << discovery.failure();
         }
     }
 };
 
-std::string nameOf(const testing::TestParamInfo<std::string>& info) {
-    return info.param;
-}
-INSTANTIATE_TEST_SUITE_P(Ways, DiscoveryCalls, testing::Values("ask", "push"), nameOf);
-
-TEST_P(DiscoveryCalls, AtTheStartEveryEndIsFollowedByACallInTime) {
-    std::list<Failing> failing;
-    std::list<Site> sites;
-    for (const std::string& end : kCallEnds) failing.emplace_back(end);
-    for (Failing& f : failing) sites.emplace_back(GetParam(), &f.server);
-    expectCalledAgain(failing, sites, "since=41 ");
-    auto site = sites.begin();
-    for (Failing& f : failing) {
-        Socket call = f.openCall("since=41 ");
-        (site++)->answer(call, 50);
+INSTANTIATE_TEST_SUITE_P(Modes, DiscoveryClientTest, testing::Values(kPolledDiscovery, kPushedDiscovery),
+                         [](const auto& parameter) {
+                             return parameter.param == kPushedDiscovery ? "Push" : "Poll";
+                         });
+
+// ---- Calls that fail ------------------------------------------------------------------------------------
+
+TEST_P(DiscoveryClientTest, CallsAgainInTimeAfterEveryFailureAtStart) {
+    std::list<FailingDiscovery> discoveries;
+    std::list<ObservedGateway> gateways;
+    for (const CallFailure failure : kCallFailures) discoveries.emplace_back(failure);
+    for (const FailingDiscovery& discovery : discoveries)
+        gateways.emplace_back(GetParam(), &discovery.server());
+    expectCalledAgain(discoveries, gateways, "since=41 ");
+    auto observed = gateways.begin();
+    for (const FailingDiscovery& discovery : discoveries) {
+        const Socket call = discovery.acceptOpenCall("since=41 ");
+        (observed++)->answer(call, 50);
     }
 }
 
-TEST_P(DiscoveryCalls, AfterSighupEveryEndIsFollowedByACallInTime) {
-    std::list<Failing> failing;
-    std::list<Site> sites;
-    for (const std::string& end : kCallEnds) failing.emplace_back(end);
-    for (std::size_t i = 0; i < failing.size(); ++i) sites.emplace_back(GetParam());
-    auto site = sites.begin();
-    for (Failing& f : failing) {
-        Socket watch = site->gateway.discovery.accept();
-        EXPECT_TRUE(has(watch.message(), "since=41 "));
-        watch.write(kHead + listLine(60, false, {}));
-        (site++)->gateway.reload(f.server);
+TEST_P(DiscoveryClientTest, CallsAgainInTimeAfterEveryFailureAfterReload) {
+    std::list<FailingDiscovery> discoveries;
+    std::list<ObservedGateway> gateways;
+    for (const CallFailure failure : kCallFailures) {
+        discoveries.emplace_back(failure);
+        gateways.emplace_back(GetParam());
+    }
+    auto observed = gateways.begin();
+    for (const FailingDiscovery& discovery : discoveries) {
+        Socket watch = observed->gateway.discovery().accept();
+        EXPECT_TRUE(contains(watch.receiveMessage(), "since=41 "));
+        watch.write(kChunkedHead + deltaChunk(60, {}));
+        (observed++)->gateway.reload(discovery.server());
         EXPECT_TRUE(watch.waitReadable());
     }
-    expectCalledAgain(failing, sites, "GET /api/targets HTTP/1.1\r\n");
-    site = sites.begin();
-    for (Failing& f : failing) {
-        Socket call = f.openCall("GET /api/targets HTTP/1.1\r\n");
-        call.write(ok(wholeList(3, {target("told", site->told)})));
-        EXPECT_TRUE(has(call.message(), "since=3 ")) << f.how;
-        (site++)->expectTold();
+    expectCalledAgain(discoveries, gateways, kSnapshotRequest);
+    observed = gateways.begin();
+    for (const FailingDiscovery& discovery : discoveries) {
+        Socket call = discovery.acceptOpenCall(kSnapshotRequest);
+        call.write(okResponse(snapshotDocument(3, {observed->newEntry()})));
+        EXPECT_TRUE(contains(call.receiveMessage(), "since=3 ")) << discovery.failure();
+        (observed++)->expectNewEndpointInForce();
     }
 }
 
-// What the new discovery has counts 4 s after SIGHUP.
-TEST_P(DiscoveryCalls, AfterSighupTheNewOneIsCalledWithinItsTerm) {
-    Server next;
-    Site site(GetParam());
-    Socket watch = site.gateway.discovery.accept();
-    watch.message();
-    watch.write(kHead + chunk("\n"));
-    Socket client = site.gateway.client();
-    client.write(request("load", "clock", 3900));
-    site.gateway.reload(next);
-    EXPECT_NE(statusOf(client.message()), 200);
-    EXPECT_TRUE(next.waitReadable(0));
+// What the new discovery has must be known 4 s after SIGHUP.
+TEST_P(DiscoveryClientTest, CallsNewDiscoveryInTimeAfterReload) {
+    const Server newDiscovery;
+    ObservedGateway observed(GetParam());
+    const Socket watch = acceptCall(observed);
+    watch.write(kChunkedHead + chunk("\n"));
+    Socket client = observed.gateway.connectClient();
+    client.write(safeRequest("clock").withTimeout(std::chrono::milliseconds(3900)).text());
+    observed.gateway.reload(newDiscovery);
+    EXPECT_NE(statusOf(client.receiveMessage()), 200);
+    EXPECT_TRUE(newDiscovery.waitReadable(0));
 }
 
-// Its first byte comes only when one more call has been made: the list that is under way is taken, and the
-// newer call ends.
-TEST_P(DiscoveryCalls, AListThatTakesLongToBeginIsTakenAtTheStart) {
-    Site site(GetParam());
-    Socket slow = site.gateway.discovery.accept();
-    slow.message();
-    Socket beside = site.gateway.discovery.accept();
-    EXPECT_TRUE(has(beside.message(), "since=41 "));
+// ---- Two calls ------------------------------------------------------------------------------------------
+
+// The list begins only when a newer call has been made: it is accepted, and the newer call ends.
+TEST_P(DiscoveryClientTest, AcceptsListThatBeginsLateAtStart) {
+    ObservedGateway observed(GetParam());
+    const Socket slow = acceptCall(observed);
+    Socket newer = observed.gateway.discovery().accept();
+    EXPECT_TRUE(contains(newer.receiveMessage(), "since=41 "));
     EXPECT_FALSE(slow.waitReadable(0));
-    site.answer(slow, 50);
-    EXPECT_TRUE(beside.atEnd());
+    observed.answer(slow, 50);
+    EXPECT_TRUE(newer.waitForClose());
 }
 
-TEST_P(DiscoveryCalls, AListThatTakesLongToBeginIsTakenAfterSighup) {
-    Server next;
-    Site site(GetParam());
-    site.gateway.discovery.accept().message();
-    site.gateway.reload(next);
-    Socket slow = next.accept();
-    slow.message();
-    Socket beside = next.accept();
-    EXPECT_TRUE(has(beside.message(), "GET /api/targets HTTP/1.1\r\n"));
-    slow.write(ok(wholeList(3, {target("told", site.told)})));
-    EXPECT_TRUE(beside.atEnd());
-    site.expectTold();
-    // The watch behind it is one more call, and is not thrown away either while it waits.
-    EXPECT_TRUE(has(slow.message(), "since=3 "));
-    beside = next.accept();
-    EXPECT_TRUE(has(beside.message(), "since=3 "));
-    slow.write(kHead + listLine(4, true, {target("held", site.held)}));
-    EXPECT_TRUE(beside.atEnd());
+TEST_P(DiscoveryClientTest, AcceptsListThatBeginsLateAfterReload) {
+    const Server newDiscovery;
+    ObservedGateway observed(GetParam());
+    acceptCall(observed);
+    observed.gateway.reload(newDiscovery);
+    Socket slow = newDiscovery.accept();
+    slow.receiveMessage();
+    Socket newer = newDiscovery.accept();
+    EXPECT_TRUE(contains(newer.receiveMessage(), kSnapshotRequest));
+    slow.write(okResponse(snapshotDocument(3, {observed.newEntry()})));
+    EXPECT_TRUE(newer.waitForClose());
+    observed.expectNewEndpointInForce();
+    // The watch that follows the snapshot is one more call, which is kept open while it waits as well.
+    EXPECT_TRUE(contains(slow.receiveMessage(), "since=3 "));
+    newer = newDiscovery.accept();
+    EXPECT_TRUE(contains(newer.receiveMessage(), "since=3 "));
+    slow.write(kChunkedHead + snapshotChunk(4, {observed.knownEntry()}));
+    EXPECT_TRUE(newer.waitForClose());
 }
 
-// A head alone is no list yet, and one that stops amid itself may go on.
-TEST_P(DiscoveryCalls, AListThatStopsAmidItselfIsTakenWhenItGoesOn) {
-    Site site(GetParam());
-    Socket slow = site.gateway.discovery.accept();
-    slow.message();
-    const std::string list = wholeList(50, {target("told", site.told)});
-    slow.write(kHead);
-    Socket beside = site.gateway.discovery.accept();
-    beside.message();
-    slow.write(chunk(list.substr(0, 30)));
-    EXPECT_TRUE(beside.atEnd());
-    beside = site.gateway.discovery.accept();  // 2.3 s after that word at the earliest
-    EXPECT_TRUE(has(beside.message(), "since=41 "));
-    slow.write(chunk(list.substr(30)));
-    EXPECT_TRUE(beside.atEnd());
-    site.expectTold();
+// A head alone is no list yet, and a list that stops part way may go on.
+TEST_P(DiscoveryClientTest, AcceptsListThatStopsPartWayOnceItGoesOn) {
+    constexpr std::size_t kFirstPart = 30;
+    ObservedGateway observed(GetParam());
+    const Socket slow = acceptCall(observed);
+    const std::string list = snapshotDocument(50, {observed.newEntry()});
+    slow.write(kChunkedHead);
+    Socket newer = acceptCall(observed);
+    slow.write(chunk(list.substr(0, kFirstPart)));
+    EXPECT_TRUE(newer.waitForClose());
+    newer = observed.gateway.discovery().accept();  // at the earliest 2.3 s after the first part
+    EXPECT_TRUE(contains(newer.receiveMessage(), "since=41 "));
+    slow.write(chunk(list.substr(kFirstPart)));
+    EXPECT_TRUE(newer.waitForClose());
+    observed.expectNewEndpointInForce();
 }
 
-TEST_P(DiscoveryCalls, ANewerCallThatIsAnsweredFirstEndsTheOlder) {
-    Site site(GetParam());
-    Socket slow = site.gateway.discovery.accept();
-    slow.message();
-    Socket beside = site.gateway.discovery.accept();
-    beside.message();
-    site.answer(beside, 50);
-    EXPECT_TRUE(slow.atEnd());
+TEST_P(DiscoveryClientTest, ClosesOlderCallWhenNewerOneIsAnsweredFirst) {
+    ObservedGateway observed(GetParam());
+    Socket older = acceptCall(observed);
+    const Socket newer = acceptCall(observed);
+    observed.answer(newer, 50);
+    EXPECT_TRUE(older.waitForClose());
 }
 
-// Turned away is no answer that the other call would end for.
-TEST_P(DiscoveryCalls, OneThatIsRejectedLeavesTheOtherOpen) {
-    for (const bool older : {false, true}) {
-        Site site(GetParam());
-        Socket slow = site.gateway.discovery.accept();
-        slow.message();
-        Socket beside = site.gateway.discovery.accept();
-        beside.message();
-        Socket& away = older ? slow : beside;
-        away.write(kTurnedAway);
-        EXPECT_TRUE(away.atEnd());
-        site.answer(older ? beside : slow, 50);
+// A rejection is no answer for which the other call would end.
+TEST_P(DiscoveryClientTest, KeepsOtherCallOpenWhenOneIsRejected) {
+    for (const bool rejectsOlder : {false, true}) {
+        SCOPED_TRACE(rejectsOlder ? "the older one is rejected" : "the newer one is rejected");
+        ObservedGateway observed(GetParam());
+        Socket older = acceptCall(observed);
+        Socket newer = acceptCall(observed);
+        Socket& rejected = rejectsOlder ? older : newer;
+        rejected.write(kUnavailableResponse);
+        EXPECT_TRUE(rejected.waitForClose());
+        observed.answer(rejectsOlder ? newer : older, 50);
     }
 }
 
-// Two at most: what discovery never answers holds no more descriptors than that.
-TEST_P(DiscoveryCalls, OfThoseThatAreNotAnsweredTheNewestTwoStayOpen) {
-    Site site(GetParam());
-    Socket first = site.gateway.discovery.accept(), second = site.gateway.discovery.accept();
-    EXPECT_FALSE(first.message().empty());
-    EXPECT_FALSE(second.message().empty());
-    Socket third = site.gateway.discovery.accept();
-    EXPECT_FALSE(third.message().empty());
-    EXPECT_TRUE(first.atEnd());
+// Discovery that never answers holds two descriptors, and no more.
+TEST_P(DiscoveryClientTest, KeepsNewestTwoUnansweredCallsOpen) {
+    ObservedGateway observed(GetParam());
+    Socket first = observed.gateway.discovery().accept();
+    Socket second = observed.gateway.discovery().accept();
+    EXPECT_FALSE(first.receiveMessage().empty());
+    EXPECT_FALSE(second.receiveMessage().empty());
+    Socket third = observed.gateway.discovery().accept();
+    EXPECT_FALSE(third.receiveMessage().empty());
+    EXPECT_TRUE(first.waitForClose());
     EXPECT_FALSE(second.waitReadable(0));
-    site.answer(second, 50);
-    EXPECT_TRUE(third.atEnd());
-}
-
-TEST_P(DiscoveryCalls, SighupEndsBothAndTheNewDiscoveryIsAskedForAll) {
-    Server next;
-    Site site(GetParam());
-    Socket first = site.gateway.discovery.accept(), second = site.gateway.discovery.accept();
-    first.message();
-    second.message();
-    site.gateway.reload(next);
-    EXPECT_TRUE(first.atEnd());
-    EXPECT_TRUE(second.atEnd());
-    Socket call = next.accept();
-    EXPECT_TRUE(has(call.message(), "GET /api/targets HTTP/1.1\r\n"));
-}
-
-TEST_P(DiscoveryCalls, AProcessThatIsToldToEndDoesSoWithBothOpen) {
-    Site site(GetParam());
-    Socket first = site.gateway.discovery.accept(), second = site.gateway.discovery.accept();
-    site.gateway.terminate();
-    EXPECT_EQ(site.gateway.wait(), 0);
-}
-
-int readiness(Socket& client) {
-    client.write("GET /-/ready HTTP/1.1\r\n\r\n");
-    return statusOf(client.message());
+    observed.answer(second, 50);
+    EXPECT_TRUE(third.waitForClose());
 }
 
-// Until it is: on the list that it was given, whatever becomes of its calls.
-void expectReady(const GatewayProcess& gateway) {
-    Socket client = gateway.client();
-    for (int i = 0; i < kTestTimeoutMs / 10; ++i) {
-        if (readiness(client) == 200) return;
-        ::poll(nullptr, 0, 10);
-    }
-    ADD_FAILURE() << "not ready";
-}
-
-TEST_P(DiscoveryCalls, ANewProcessIsReadyWhateverBecomesOfItsCalls) {
-    for (const std::string& end : kCallEnds) {
-        Failing failing(end);
-        Server endpoint;
-        GatewayProcess gateway(Targets{target("w", endpoint)}, settingsOf(GetParam()), [&](Json& c) {
-            c["discovery"] = failing.server.address();
-            c["listWaitMs"] = 500;
-        });
-        if (end != "refused" && end != "notUp") failing.fail("since=41 ");
-        expectReady(gateway);
-    }
+TEST_P(DiscoveryClientTest, ClosesBothCallsAndRequestsSnapshotAfterReload) {
+    const Server newDiscovery;
+    ObservedGateway observed(GetParam());
+    Socket first = acceptCall(observed);
+    Socket second = acceptCall(observed);
+    observed.gateway.reload(newDiscovery);
+    EXPECT_TRUE(first.waitForClose());
+    EXPECT_TRUE(second.waitForClose());
+    EXPECT_TRUE(contains(newDiscovery.accept().receiveMessage(), kSnapshotRequest));
 }
 
-// A quarter of a fleet that is restarted at once, before one discovery that says nothing or turns all away.
-TEST_P(DiscoveryCalls, ManyThatStartAtOnceAreAllReady) {
-    for (const bool turnsAway : {false, true}) {
-        Server endpoint, discovery;
-        std::list<GatewayProcess> gateways;
-        for (int i = 0; i < 12; ++i) {
-            Json s = settingsOf(GetParam());
-            s["balancers"] = 12;
-            s["me"] = i;
-            gateways.emplace_back(Targets{target("w", endpoint)}, s, [&](Json& c) {
-                c["discovery"] = discovery.address();
-                c["listWaitMs"] = 500;
-            });
-        }
-        std::vector<Socket> calls;
-        for (std::size_t i = 0; i < gateways.size(); ++i) {
-            calls.push_back(discovery.accept());
-            if (turnsAway) calls.back().write(kTurnedAway);
-        }
-        for (const GatewayProcess& gateway : gateways) expectReady(gateway);
-    }
-}
-
-// One that knows of no endpoint waits for a list, but not for ever.
-TEST_P(DiscoveryCalls, AnEmptyListIsWaitedForAndNotForEver) {
-    for (const bool patient : {true, false}) {
-        GatewayProcess gateway(Targets{}, settingsOf(GetParam()),
-                               [&](Json& c) { c["emptyWaitMs"] = patient ? 3600'000 : 1; });
-        Socket call = gateway.discovery.accept();
-        call.message();
-        if (patient) {
-            Socket client = gateway.client();
-            EXPECT_EQ(readiness(client), 503);
-            Server endpoint;
-            call.write(kHead + listLine(42, false, {target("w", endpoint)}));
-        }
-        expectReady(gateway);
-    }
-    EXPECT_LT(readConfig(Json{{"listen", "127.0.0.1:0"},
-                              {"discovery", "127.0.0.1:1"},
-                              {"seed", "1"},
-                              {"settings", settings()}}
-                             .dump())
-                  .timing.emptyListWait,
-              seconds(6));  // what discovery has counts then
+TEST_P(DiscoveryClientTest, ExitsOnSigtermWithBothCallsOpen) {
+    ObservedGateway observed(GetParam());
+    const Socket first = observed.gateway.discovery().accept();
+    const Socket second = observed.gateway.discovery().accept();
+    observed.gateway.terminate();
+    EXPECT_EQ(observed.gateway.waitForExit(), 0);
 }
 
-// A watch that had brought something whole and says no more is ended at once: what it may still bring is
-// older than what the next one does.
-TEST_P(DiscoveryCalls, AWatchThatFallsSilentEndsBeforeTheNextCall) {
-    Site site(GetParam());
-    Socket watch = site.gateway.discovery.accept();
-    watch.message();
-    watch.write(kHead + listLine(45, true, {target("held", site.held)}));
-    EXPECT_TRUE(watch.atEnd());
-    Socket next = site.gateway.discovery.accept();
-    EXPECT_TRUE(has(next.message(), "since=45 "));
-    site.answer(next, 46);
+// What a silent watch may still bring is older than what the next one does.
+TEST_P(DiscoveryClientTest, ClosesSilentWatchBeforeNextCall) {
+    ObservedGateway observed(GetParam());
+    Socket watch = acceptCall(observed);
+    watch.write(kChunkedHead + snapshotChunk(45, {observed.knownEntry()}));
+    EXPECT_TRUE(watch.waitForClose());
+    Socket next = observed.gateway.discovery().accept();
+    EXPECT_TRUE(contains(next.receiveMessage(), "since=45 "));
+    observed.answer(next, 46);
 }
 
 }  // namespace
--- a/tests/net/discovery/watch_stream_test.cpp
+++ b/tests/net/discovery/watch_stream_test.cpp
@@ -1,138 +1,191 @@
-// The list of endpoints as discovery tells it, on sockets.
+// The watch of discovery's endpoint list, as a gateway process holds it.
 #include <gtest/gtest.h>
 
-#include <list>
-#include <memory>
+#include <string>
 
-#include "net/transport/backoff.h"
-#include "support/gateway_process.h"
+#include "support/gateway_test.h"
 
 namespace gateway::net::test {
 namespace {
 
-TEST(WatchStreams, ReconnectsWithTheVersionItHasAndAFullListRemovesWhatItLacks) {
-    Server a, b;
-    Json s = settings();
-    s["rules"]["drainGraceS"] = 600;  // the list alone keeps attempts away from a
-    GatewayProcess gateway(Targets{target("a", a)}, s);
+class WatchStreamTest : public GatewayTest {
+protected:
+    void startGatewayWithoutEndpoints(Json settings = defaultSettings()) {
+        GatewayOptions options;
+        options.settings = std::move(settings);
+        startGateway(options);
+    }
+
+    // Accepts a call and reads its request.
+    Socket acceptCall() {
+        Socket call = gateway().discovery().accept();
+        call.receiveMessage();
+        return call;
+    }
+    // The same, where the call must be a watch from the version `index`.
+    Socket acceptWatchFrom(int index) {
+        Socket watch = gateway().discovery().accept();
+        EXPECT_TRUE(contains(watch.receiveMessage(), "since=" + std::to_string(index) + " "));
+        return watch;
+    }
+    bool isCalledAgain(int withinMs = 0) { return gateway().discovery().waitReadable(withinMs); }
+};
+
+// ---- Documents ------------------------------------------------------------------------------------------
+
+TEST_F(WatchStreamTest, ReconnectsFromKnownVersionAndRemovesEndpointsThatSnapshotLacks) {
+    const Server newEndpoint;
+    startGateway(withLongDrainGracePeriod(defaultSettings()));
+    {
+        Socket watch = gateway().discovery().accept();
+        EXPECT_TRUE(contains(watch.receiveMessage(), "GET /api/targets?follow=1&since=41 "));
+        watch.write(kChunkedHead + chunk("\n") + deltaChunk(43, {listedEndpoint("b", newEndpoint)}));
+    }
+    {
+        const Socket watch = acceptWatchFrom(43);
+        watch.write(kChunkedHead + snapshotChunk(50, {listedEndpoint("b", newEndpoint)}));
+    }
+    // A list is applied before the next one is requested: the third watch shows that it is in force.
+    const Socket watch = acceptWatchFrom(50);
+    expectServedBy(gateway(), newEndpoint, 4);
+    EXPECT_FALSE(endpoint.waitReadable(0));
+}
+
+// The end of a line within an object does not end it, nor does a bracket within a string.
+TEST_F(WatchStreamTest, ParsesIndentedSplitAndConcatenatedDocuments) {
+    const Server newEndpoint;
+    startGateway(withLongDrainGracePeriod(defaultSettings()));
+    Json listed = listedEndpoint("b", newEndpoint);
+    listed["note"] = "}{ \\\" ]";
+    const auto indented = [&listed](int index, int width) {
+        return Json::parse(snapshotDocument(index, {listed})).dump(width);
+    };
+    const std::string split = indented(43, 2);
     {
-        Socket watch = gateway.discovery.accept();
-        EXPECT_TRUE(has(watch.message(), "GET /api/targets?follow=1&since=41 "));
-        watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("\n") +
-                    listLine(43, false, {target("b", b)}));
+        const Socket watch = acceptCall();
+        watch.write(kChunkedHead + chunk("\n") + chunk(split.substr(0, 40)) +
+                    chunk(split.substr(40) + "\n\n") +
+                    chunk(indented(44, 4) + snapshotDocument(45, {listed})));
     }
-    Socket watch = gateway.discovery.accept();
-    EXPECT_TRUE(has(watch.message(), "since=43 "));
-    watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
-                listLine(50, true, {target("b", b)}));
-    // A line is applied before the one behind it is asked for: the third watch shows that 50 is in force.
-    watch.close();
-    Socket third = gateway.discovery.accept();
-    EXPECT_TRUE(has(third.message(), "since=50 "));
-    expectServedBy(gateway, b, 4);
-    EXPECT_FALSE(a.waitReadable(0));
+    const Socket watch = acceptWatchFrom(45);
+    expectServedBy(gateway(), newEndpoint, 3);
+    EXPECT_FALSE(endpoint.waitReadable(0));
 }
 
-// In a fleet that is replaced all day, those that are gone would be kept and walked for ever.
-TEST(WatchStreams, EndpointsThatAreGoneLeaveNothingBehind) {
-    Server endpoint;
-    GatewayProcess gateway(Targets{});
-    Socket watch = gateway.discovery.accept();
-    watch.message();
-    watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+TEST_F(WatchStreamTest, EndsAtInvalidDocumentAndResumesFromLastValidVersion) {
+    startGateway();
     int index = 42;
-    const auto serve = [&] {
+    for (const char* invalid : {"noise\n", "{\"index\": 50, \"snapshot\"}\n",
+                                "{\"index\": -1, \"snapshot\": true, \"endpoints\": []}\n",
+                                "{\n  \"index\": 51,\n  \"snapshot\": true,\n  \"endpoints\": [{}]\n}\n"}) {
+        SCOPED_TRACE(invalid);
+        Socket watch = acceptCall();
+        watch.write(kChunkedHead + deltaChunk(index, {}) + chunk(invalid));
+        EXPECT_TRUE(watch.waitForClose());
+        acceptWatchFrom(index).close();
+        ++index;
+    }
+    Socket client = connectClient();
+    const Socket connection = sendToEndpoint(client, safeRequest("r"));
+    connection.write(okResponse("served"));
+    EXPECT_EQ(statusOf(client.receiveMessage()), 200);
+}
+
+// In a fleet that is replaced all day, removed endpoints would be kept and walked through for ever.
+TEST_F(WatchStreamTest, KeepsNoMemoryOfRemovedEndpoints) {
+    constexpr int kRounds = 200;
+    constexpr int kEndpointsPerRound = 100;
+    constexpr long kMaxGrowthKilobytes = 6000;
+    startGatewayWithoutEndpoints();
+    const Socket watch = acceptCall();
+    watch.write(kChunkedHead);
+    int index = 42;
+    // Returns once a snapshot that is sent here is in force.
+    const auto replaceAll = [&] {
         const std::string name = "last" + std::to_string(index);
-        watch.write(listLine(++index, true, {target(name, endpoint)}));
-        for (;;) {  // until the list is in force
-            Socket client = gateway.client();
-            client.write(request("load", name));
-            pollfd either[2] = {{client.fd(), POLLIN, 0}, {endpoint.fd(), POLLIN, 0}};
-            ASSERT_GT(::poll(either, 2, kTestTimeoutMs), 0);
-            if (either[1].revents == 0) continue;
-            Socket at = endpoint.accept();
-            at.message();
-            at.write("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-            EXPECT_EQ(statusOf(client.message()), 200);
+        watch.write(snapshotChunk(++index, {listedEndpoint(name, endpoint)}));
+        for (;;) {
+            Socket client = connectClient();
+            client.write(safeRequest(name).text());
+            if (waitForReadable({&client, &endpoint}).back() != &endpoint) continue;
+            acceptAttempt(endpoint).write(okResponseAndClose());
+            EXPECT_EQ(statusOf(client.receiveMessage()), 200);
             return;
         }
     };
-    serve();
-    const long before = gateway.residentKb();
-    for (int round = 0; round < 200; ++round) {
-        Targets fresh, removed;
-        for (int i = 0; i < 100; ++i) {
+    replaceAll();
+    const long before = gateway().residentKilobytes();
+    for (int round = 0; round < kRounds; ++round) {
+        EndpointEntries added;
+        EndpointEntries removed;
+        for (int i = 0; i < kEndpointsPerRound; ++i) {
             const std::string name = "s-" + std::to_string(round) + "-" + std::to_string(i);
-            fresh.push_back(target(name, endpoint));
-            removed.push_back(target(name, endpoint, "terminated"));
+            added.push_back(listedEndpoint(name, endpoint));
+            removed.push_back(listedEndpoint(name, endpoint, "terminated"));
         }
-        watch.write(listLine(++index, false, fresh));
-        watch.write(listLine(++index, false, removed));
+        watch.write(deltaChunk(++index, added));
+        watch.write(deltaChunk(++index, removed));
     }
-    serve();
-    EXPECT_LT(gateway.residentKb() - before, 6000);
+    replaceAll();
+    EXPECT_LT(gateway().residentKilobytes() - before, kMaxGrowthKilobytes);
 }
 
-// A watch that was cut off says nothing and stays open; a live one sends an empty line every 2 s.
-TEST(WatchStreams, ASilentWatchIsOpenedAnewFromTheVersionItHad) {
-    GatewayProcess gateway(Targets{});
-    Socket silent = gateway.discovery.accept();
-    silent.message();
-    Socket next = gateway.discovery.accept();
-    EXPECT_TRUE(has(next.message(), "since=41 "));
-    EXPECT_TRUE(silent.atEnd());
+// ---- Silence --------------------------------------------------------------------------------------------
+
+// A watch that was cut off stays open without a byte; a live one brings an empty line every 2 s.
+TEST_F(WatchStreamTest, ReopensSilentWatchFromKnownVersion) {
+    startGatewayWithoutEndpoints();
+    Socket silent = acceptCall();
+    const Socket next = acceptWatchFrom(kKnownIndex);
+    EXPECT_TRUE(silent.waitForClose());
 }
 
-// Discovery that has to be asked is one service for all: one that is turned away at its own moment comes
-// again at the next of these, 4.5 s later. The first call of a process is made at no such moment.
-TEST(WatchStreams, WhereItMustBeAskedOneThatRejectsIsLetOff) {
-    Json s = settings();
-    s["discovery"] = "ask";
-    s["rules"]["mustAskInS"] = 3600;
-    GatewayProcess gateway(Targets{}, s);
-    for (int i = 0; i < 2; ++i) {
-        Socket watch = gateway.discovery.accept();
-        watch.message();
-        watch.write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
-        EXPECT_TRUE(watch.atEnd());
-    }
-    EXPECT_FALSE(gateway.discovery.waitReadable(2000));
+// The silence counts from the last byte: another watch is open 2.3 s after that, so before a request that
+// came just behind it has run out of its 3.9 s.
+TEST_F(WatchStreamTest, ReopensWatchThatIsSilentAfterLastByteInTime) {
+    startGateway();
+    const Socket watch = acceptCall();
+    watch.write(kChunkedHead + chunk("\n"));
+    Socket client = connectClient();
+    client.write(safeRequest("r").withTimeout(std::chrono::milliseconds(3900)).text());
+    EXPECT_NE(statusOf(client.receiveMessage()), 200);
+    EXPECT_TRUE(isCalledAgain());
 }
 
-TEST(Backoff, WaitsOfManyAreSpreadAndTheirBoundDoublesUntilThePeerAnswers) {
-    const Duration first = std::chrono::seconds(5), most = std::chrono::seconds(10);
-    std::vector<int> second(10), third(10);
-    for (std::uint64_t seed = 1; seed <= 400; ++seed) {
-        Backoff backoff(first, most, seed);
-        const Duration a = backoff.next(), b = backoff.next(), c = backoff.next();
-        EXPECT_LE(a, first);
-        EXPECT_LE(std::max(b, c), most);
-        ++second[static_cast<std::size_t>((a - Duration(1)) * 10 / first)];
-        ++third[static_cast<std::size_t>((c - Duration(1)) * 10 / most)];
-        backoff.reset();
-        EXPECT_LE(backoff.next(), first);
+// ---- Discovery that is polled ---------------------------------------------------------------------------
+
+class PolledWatchStreamTest : public WatchStreamTest {
+protected:
+    static constexpr int kPauseMs = 2000;  // shorter than the usual period of 4.5 s
+
+    void SetUp() override {
+        startGatewayWithoutEndpoints(withDiscovery(defaultSettings(), kPolledDiscovery, 3600));
     }
-    for (const int tenth : second) EXPECT_LT(tenth, 80);  // 40 in each were even
-    for (const int tenth : third) EXPECT_LT(tenth, 80);
+};
+
+// What a silent watch misses counts 6 s after its last byte, so it is called again sooner than one that
+// rejects calls.
+TEST_F(PolledWatchStreamTest, ReopensSilentWatchSoonAndKeepsUnansweredCallOpenBesideNewerOne) {
+    Socket watch = acceptCall();
+    watch.write(kChunkedHead + chunk("\n"));
+    Socket next = acceptWatchFrom(kKnownIndex);
+    EXPECT_TRUE(watch.waitForClose());
+    const Socket newer = acceptWatchFrom(kKnownIndex);
+    EXPECT_FALSE(next.waitReadable(0));
+    EXPECT_FALSE(isCalledAgain(kPauseMs));  // the other gateways wait in the same queue
+    newer.write(kChunkedHead + chunk("\n"));
+    EXPECT_TRUE(next.waitForClose());
 }
 
-TEST(WatchStreams, AnAttemptThatStillConnectsWritesNothingToAEndpointThatDisconnected) {
-    Server full(0);  // its queue takes one connection; the next does not come up until that is accepted
-    Socket plug = connectTo(full.port);
-    GatewayProcess gateway(Targets{target("w", full)});
-    Socket watch = gateway.discovery.accept();
-    watch.message();
-    watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    Socket client = gateway.client();
-    client.write(request("spend", "r", 8000, "x"));
-    Socket probe = gateway.client();  // served in order: the request before is in hand once this is answered
-    probe.write("GET /-/ready HTTP/1.1\r\n\r\n");
-    probe.message();
-    watch.write(listLine(60, false, {target("w", full, "terminating")}));
-    Socket first = full.accept();
-    Socket second = full.accept();  // comes up when the kernel tries again, about 1 s later: past the grace
-    EXPECT_TRUE(second.atEnd());
-    EXPECT_EQ(statusOf(client.message()), 429);  // never ran: refused
+// It is one service for all gateways: one that it rejects at its own time comes again a period later. The
+// first call of a process is made at once.
+TEST_F(PolledWatchStreamTest, WaitsForItsNextSlotAfterRejection) {
+    for (int i = 0; i < 2; ++i) {
+        Socket call = acceptCall();
+        call.write(kUnavailableResponse);
+        EXPECT_TRUE(call.waitForClose());
+    }
+    EXPECT_FALSE(isCalledAgain(kPauseMs));
 }
 
 }  // namespace
--- /dev/null
+++ b/tests/net/transport/timer_queue_test.cpp
@@ -0,0 +1,33 @@
+#include "net/transport/timer_queue.h"
+
+#include <gtest/gtest.h>
+
+#include <boost/asio/io_context.hpp>
+#include <stdexcept>
+
+namespace gateway::net::test {
+namespace {
+
+// Runs the loop as the process does: an exception does not end it.
+void runLoop(boost::asio::io_context& loop) {
+    for (bool ended = false; !ended;) {
+        try {
+            loop.run();
+            ended = true;
+        } catch (const std::exception&) {
+        }
+    }
+}
+
+TEST(TimerQueueTest, RunsOtherTimersAfterOneThatThrows) {
+    boost::asio::io_context loop;
+    TimerQueue timers(loop);
+    bool hasFired = false;
+    timers.after(Duration::zero(), [] { throw std::runtime_error("of one connection"); });
+    timers.after(std::chrono::milliseconds(10), [&] { hasFired = true; });
+    runLoop(loop);
+    EXPECT_TRUE(hasFired);
+}
+
+}  // namespace
+}  // namespace gateway::net::test
