--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -94,26 +94,12 @@
     };
 }
 
-<<<<<<< HEAD
 GracefulShutdown::Hooks GatewayServer::shutdownHooks() {
     return {
         [this](std::function<void()> onDrained) { clients_.drain(std::move(onDrained)); },
         [this] { return isReconciled(); },
         [this] { discovery_.stop(); },
     };
-=======
-DiscoveryClient::Options GatewayServer::discoveryOptions() {
-    return {config_.discovery, config_.vocabulary, config_.known.version, discoverySchedule(config_),
-            [this] { return reclaimDescriptor(); }};
-}
-
-CounterClient::Limits GatewayServer::counterLimits() {
-    CounterClient::Limits limits;
-    limits.callTimeout = config_.settings.counterTimeout;
-    limits.connectTimeout = config_.settings.connectTimeout;
-    limits.reclaimDescriptor = [this] { return reclaimDescriptor(); };
-    return limits;
->>>>>>> part-edges
 }
 
 // ---- Start, reload, shutdown ----------------------------------------------------------------------
--- a/tests/integration/client_limits_test.cpp
+++ b/tests/integration/client_limits_test.cpp
@@ -3,58 +3,55 @@
 
 #include <list>
 
-#include "support/gateway_process.h"
+#include "support/gateway_test.h"
 
 namespace gateway::net::test {
 namespace {
 
 class ClientLimitsTest : public testing::Test {
 protected:
-    static std::function<void(Json&)> set(const char* key, const Json& value) {
-        return [=](Json& config) { config[key] = value; };
-    }
-
-    static void expectReady(Socket& client) {
-        client.write("GET /-/ready HTTP/1.1\r\n\r\n");
-        EXPECT_EQ(statusOf(client.message()), 200);
-    }
+    static void expectReady(Socket& client) { EXPECT_EQ(requestReadiness(client), 200); }
 
     Server endpoint;
-    Targets targets{target("w", endpoint)};
+    GatewayOptions options = optionsWithEndpoint(endpoint);
 };
 
 TEST_F(ClientLimitsTest, ClosesLongestIdleClientAtMaxConnections) {
-    const GatewayProcess gateway(targets, settings(), set("limits", {{"sockets", 64}}));
+    options.maxSockets = 64;
+    const GatewayProcess gateway(options);
     std::list<Socket> clients;
     for (int i = 0; i < 100; ++i) {
-        clients.push_back(gateway.client());
+        clients.push_back(gateway.connectClient());
         expectReady(clients.back());
     }
-    EXPECT_TRUE(clients.front().atEnd());
+    EXPECT_TRUE(clients.front().waitForClose());
 }
 
 TEST_F(ClientLimitsTest, AnswersIncompleteRequestWith408AndCloses) {
-    const GatewayProcess gateway(targets, settings(), set("mostPartialMs", 100));
-    Socket client = gateway.client();
+    options.timing.maxPartialTime = std::chrono::milliseconds(100);
+    const GatewayProcess gateway(options);
+    Socket client = gateway.connectClient();
     client.write("GET /load HTTP/1.1\r\nHost:");
-    EXPECT_EQ(statusOf(client.message()), 408);
-    EXPECT_TRUE(client.atEnd());
+    EXPECT_EQ(statusOf(client.receiveMessage()), 408);
+    EXPECT_TRUE(client.waitForClose());
 }
 
 TEST_F(ClientLimitsTest, ClosesConnectionWithoutRequestAndKeepsUsedOne) {
-    const GatewayProcess gateway(targets, settings(), set("mostPartialMs", 300));
-    Socket used = gateway.client();
+    options.timing.maxPartialTime = std::chrono::milliseconds(300);
+    const GatewayProcess gateway(options);
+    Socket used = gateway.connectClient();
     expectReady(used);
-    Socket unused = gateway.client();
-    EXPECT_TRUE(unused.atEnd());
+    Socket unused = gateway.connectClient();
+    EXPECT_TRUE(unused.waitForClose());
     expectReady(used);
 }
 
 TEST_F(ClientLimitsTest, KeepsServingAfterRunningOutOfDescriptors) {
-    const GatewayProcess gateway(targets, settings(), {}, 40);
+    options.maxDescriptors = 40;
+    const GatewayProcess gateway(options);
     std::list<Socket> clients;
     for (int i = 0; i < 60; ++i) {  // more than the process may hold: the longest idle ones are closed
-        clients.push_back(gateway.client());
+        clients.push_back(gateway.connectClient());
         expectReady(clients.back());
     }
 }
--- a/tests/net/counter/counter_client_test.cpp
+++ b/tests/net/counter/counter_client_test.cpp
@@ -6,7 +6,8 @@
 #include <vector>
 
 #include "net/discovery/endpoint_list.h"
-#include "support/loopback_peers.h"
+#include "support/http_messages.h"
+#include "support/loopback_socket.h"
 
 namespace gateway::net::test {
 namespace {
@@ -66,10 +67,10 @@
     runUntilReadable(counter);
     Socket connection = counter.accept();
     runUntilReadable(connection);
-    connection.message();
-    connection.message();
+    connection.receiveMessage();
+    connection.receiveMessage();
     EXPECT_FALSE(client.isIdle());
-    connection.write(ok("1") + "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n");
+    connection.write(okResponse("1") + "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n");
     runUntilReplies(2);
     EXPECT_EQ(replies[0].name, "q1.1");
     EXPECT_EQ(replies[0].outcome, Outcome::ok);
@@ -95,7 +96,7 @@
     runUntilReadable(counter);
     Socket connection = counter.accept();
     runUntilReadable(connection);
-    connection.message();
+    connection.receiveMessage();
     connection.reset();
     runUntilReplies(1);
     EXPECT_EQ(replies[0].outcome, Outcome::reset);
