--- a/tests/integration/client_disconnect_during_attempt_test.cpp
+++ b/tests/integration/client_disconnect_during_attempt_test.cpp
@@ -22,9 +22,10 @@
 class DisconnectWhileConnectingTest : public ClientDisconnectFixture,
                                       public testing::WithParamInterface<DisconnectAndCancellation> {
 protected:
-    static Json settings() {
-        const Json base = withLongDeadlines(defaultSettings());
-        return std::get<bool>(GetParam()) ? base : withoutCancellation(base);
+    static SettingsSpec settings() {
+        SettingsSpec settings = withLongDeadlines();
+        settings.cancellationAllowed = std::get<bool>(GetParam());
+        return settings;
     }
     static void disconnectClient(Socket& client) { disconnect(client, std::get<Disconnect>(GetParam())); }
 
@@ -55,7 +56,7 @@
 
 // What was never written is not charged, also where attempts may not be cancelled.
 TEST_P(DisconnectWhileConnectingTest, RefundsAndDoesNotSendWhenClientClosesBeforeConnectionCompletes) {
-    GatewayOptions options = optionsWithEndpoint(saturated, withCounter(settings(), 20));
+    GatewayOptions options = optionsWithEndpoint(saturated, withCounter(settings(), Seconds(20)));
     options.counter = counter.address();
     startGateway(options);
     Socket client = connectClient();
@@ -115,10 +116,10 @@
 class DisconnectBeforeRetryTest : public ClientDisconnectFixture,
                                   public testing::WithParamInterface<DisconnectAndFailure> {
 protected:
-    void startGatewayWithTwoEndpoints(Json settings) {
+    void startGatewayWithTwoEndpoints(const SettingsSpec& settings) {
         GatewayOptions options;
         options.knownEndpoints = {listedEndpoint("a", endpoint), listedEndpoint("b", otherEndpoint)};
-        options.settings = std::move(settings);
+        options.settings = settings;
         startGateway(options);
     }
     AttemptAtOneOfTwo sendSafeRequest(const Socket& client) const {
@@ -147,7 +148,7 @@
     nameOfFailure);
 
 TEST_P(DisconnectBeforeRetryTest, DoesNotRetryWhenClientClosesAsAttemptFails) {
-    startGatewayWithTwoEndpoints(withLongDeadlines(defaultSettings()));
+    startGatewayWithTwoEndpoints(withLongDeadlines());
     Socket client = connectClient();
     auto attempt = sendSafeRequest(client);
     gateway().whileStopped([&] {
@@ -158,7 +159,7 @@
 }
 
 TEST_P(DisconnectBeforeRetryTest, DoesNotRetryAttemptThatMayNotBeCancelledAndFailsLater) {
-    startGatewayWithTwoEndpoints(withoutCancellation(withLongDeadlines(defaultSettings())));
+    startGatewayWithTwoEndpoints(withoutCancellation(withLongDeadlines()));
     Socket client = connectClient();
     auto attempt = sendSafeRequest(client);
     disconnectClient(client);
@@ -193,13 +194,13 @@
 protected:
     void SetUp() override {
         GatewayOptions options;
-        options.settings = withLongDeadlines(defaultSettings());
+        options.settings = withLongDeadlines();
         startGateway(options);
         watch = gateway().discovery().accept();
         watch.receiveMessage();
     }
     // Returns once the endpoint is in force.
-    void announce(int index, const Json& listed) {
+    void announce(int index, const ListedEndpoint& listed) {
         watch.write(kChunkedHead + deltaChunk(index, {listed}));
         watch.close();
         watch = gateway().discovery().accept();
@@ -247,7 +248,7 @@
 TEST_F(DisconnectDuringAttemptTest, DiscardsResponseToCancelledAttempt) {
     for (const std::string& response : {std::string("HTTP/1.1 200 O"), okResponse("late")}) {
         SCOPED_TRACE(response);
-        startGateway(withLongDeadlines(defaultSettings()));
+        startGateway(withLongDeadlines());
         Socket client = connectClient();
         Socket connection = sendToEndpoint(client, unsafeRequest("gone").withTimeout(kLongTimeout));
         gateway().whileStopped([&] {
--- a/tests/integration/client_disconnect_test.cpp
+++ b/tests/integration/client_disconnect_test.cpp
@@ -8,12 +8,12 @@
 
 class ClientDisconnectTest : public ClientDisconnectFixture, public testing::WithParamInterface<Disconnect> {
 protected:
-    void startGatewayWithCounter(Json settings = withLongDeadlines(defaultSettings())) {
-        GatewayOptions options = optionsWithEndpoint(endpoint, withCounter(std::move(settings), 20));
+    void startGatewayWithCounter(const SettingsSpec& settings = withLongDeadlines()) {
+        GatewayOptions options = optionsWithEndpoint(endpoint, withCounter(settings, Seconds(20)));
         options.counter = counter.address();
         startGateway(options);
     }
-    void startGatewayWithoutCounter() { startGateway(withLongDeadlines(defaultSettings())); }
+    void startGatewayWithoutCounter() { startGateway(withLongDeadlines()); }
 
     RequestSpec countedRequest(const std::string& id) const {
         return unsafeRequest(id).withTenant(tenant).withTimeout(kLongTimeout);
@@ -70,8 +70,8 @@
 TEST_P(ClientDisconnectTest, DoesNotForwardWhenClientClosesAsCounterWaitExpires) {
     for (double waitSeconds = 1;; waitSeconds *= 3) {
         ASSERT_LT(waitSeconds, 30);
-        Json settings = withLongDeadlines(defaultSettings());
-        for (Json& requestClass : settings["classes"]) requestClass["aimS"] = 10 * waitSeconds;
+        SettingsSpec settings = withLongDeadlines();
+        settings.latencyObjective = Seconds(10 * waitSeconds);
         counter = Server();  // without connections of the gateway before
         startGatewayWithCounter(settings);
         Socket idle = openIdleConnection();
--- a/tests/integration/descriptor_reclaim_test.cpp
+++ b/tests/integration/descriptor_reclaim_test.cpp
@@ -23,8 +23,8 @@
 class DescriptorReclaimTest : public GatewayTest, public testing::WithParamInterface<DescriptorLimits> {
 protected:
     void SetUp() override {
-        const Json settings = withDiscovery(defaultSettings(), GetParam().discovery, 10);
-        GatewayOptions options = optionsWithEndpoint(endpoint, withCounter(settings, 20));
+        const SettingsSpec settings = withDiscovery(GetParam().discovery, Seconds(10));
+        GatewayOptions options = optionsWithEndpoint(endpoint, withCounter(settings, Seconds(20)));
         options.maxSockets = GetParam().configured;
         options.maxDescriptors = GetParam().system;
         options.timing.maxPartialTime = std::chrono::hours(1);  // silent clients stay, too
--- a/tests/integration/forwarding_test.cpp
+++ b/tests/integration/forwarding_test.cpp
@@ -39,7 +39,8 @@
 
 TEST_F(ForwardingTest, RetriesUnsafeRequestAfterRefusedConnection) {
     GatewayOptions options;
-    const Json refusing = listedEndpoint("dead", Server());  // closed by the time the gateway starts
+    const ListedEndpoint refusing =
+        listedEndpoint("dead", Server());  // closed by the time the gateway starts
     options.knownEndpoints = {refusing, listedEndpoint("w", endpoint)};
     startGateway(options);
     // Whichever endpoint is tried first, the reachable one serves every request, once.
--- a/tests/integration/gateway_shutdown_test.cpp
+++ b/tests/integration/gateway_shutdown_test.cpp
@@ -10,11 +10,11 @@
 namespace gateway::net::test {
 namespace {
 
-class GracefulShutdownTest : public GatewayTest {
+class GatewayShutdownTest : public GatewayTest {
 protected:
     // Listens for ever after SIGTERM, and closes idle connections at once.
-    void startGatewayThatKeepsListening(Json settings = defaultSettings()) {
-        GatewayOptions options = optionsWithEndpoint(endpoint, std::move(settings));
+    void startGatewayThatKeepsListening(const SettingsSpec& settings = {}) {
+        GatewayOptions options = optionsWithEndpoint(endpoint, settings);
         options.timing.listenAfterShutdown = std::chrono::hours(1);
         options.timing.idleGracePeriod = std::chrono::milliseconds(1);
         startGateway(options);
@@ -27,7 +27,7 @@
     }
 };
 
-TEST_F(GracefulShutdownTest, AnswersAcceptedRequestsAndExitsWithZero) {
+TEST_F(GatewayShutdownTest, AnswersAcceptedRequestsAndExitsWithZero) {
     startGateway();
     Socket client = connectClient();
     Socket idle = connectClient();
@@ -53,7 +53,7 @@
 }
 
 // A client whose request crosses the end of its idle connection sends it once more, and must be accepted.
-TEST_F(GracefulShutdownTest, ClosesIdleConnectionsWhileItStillListens) {
+TEST_F(GatewayShutdownTest, ClosesIdleConnectionsWhileItStillListens) {
     startGatewayThatKeepsListening();
     Socket idle = connectClient();
     EXPECT_EQ(requestReadiness(idle), 200);
@@ -66,9 +66,9 @@
 
 // A request and SIGTERM are found together. What comes after the gateway has ended its sending side is not
 // forwarded, whether that end followed a response or idleness.
-TEST_F(GracefulShutdownTest, AnswersRequestThatArrivesWithSignalAndDiscardsLaterOnes) {
+TEST_F(GatewayShutdownTest, AnswersRequestThatArrivesWithSignalAndDiscardsLaterOnes) {
     const auto longRequest = [](const char* id) { return unsafeRequest(id).withTimeout(kLongTimeout); };
-    startGatewayThatKeepsListening(withLongDeadlines(defaultSettings()));
+    startGatewayThatKeepsListening(withLongDeadlines());
     Socket used = connectClient();
     Socket idle = connectClient();
     EXPECT_EQ(requestReadiness(used), 200);
@@ -98,7 +98,7 @@
 }
 
 // The addresses change as they do before SIGTERM, and the requests in flight are answered.
-TEST_F(GracefulShutdownTest, IgnoresInvalidReloadAndAppliesValidOneWhileDraining) {
+TEST_F(GatewayShutdownTest, IgnoresInvalidReloadAndAppliesValidOneWhileDraining) {
     const Server newDiscovery;
     startGateway();
     Socket watch = gateway().discovery().accept();
@@ -119,12 +119,12 @@
 }
 
 // The reconciliation is sent some time after the response that causes it, when no client is left.
-TEST_F(GracefulShutdownTest, SendsReconciliationOfLastResponseBeforeExit) {
+TEST_F(GatewayShutdownTest, SendsReconciliationOfLastResponseBeforeExit) {
     const Server counter;
-    Json settings = withCounter(withLongDeadlines(defaultSettings()), 20);
-    settings["domain"]["postPaid"] = true;
-    // Slices of half a second.
-    settings["contracts"][0] = {{"name", "team"}, {"perSecond", 8}, {"depth", 4}};
+    SettingsSpec settings = withCounter(withLongDeadlines(), Seconds(20));
+    settings.reconciliationEnabled = true;
+    settings.quotaRate = 8;  // slices of half a second
+    settings.quotaBurst = 4;
     GatewayOptions options = optionsWithEndpoint(endpoint, settings);
     options.counter = counter.address();
     options.timing.listenAfterShutdown = std::chrono::milliseconds(1);
--- a/tests/integration/invalid_upstream_response_test.cpp
+++ b/tests/integration/invalid_upstream_response_test.cpp
@@ -10,10 +10,10 @@
 namespace gateway::net::test {
 namespace {
 
-class UpstreamResponseTest : public GatewayTest {};
+class InvalidUpstreamResponseTest : public GatewayTest {};
 
 // Beast 1.74 forgets its limit where the body begins in the same read as the head.
-TEST_F(UpstreamResponseTest, RejectsOversizedContentLengthAtOnceAndRetries) {
+TEST_F(InvalidUpstreamResponseTest, RejectsOversizedContentLengthAtOnceAndRetries) {
     startGateway();
     Socket client = connectClient();
     Socket connection = sendToEndpoint(client, safeRequest("r"));
@@ -23,7 +23,7 @@
     EXPECT_EQ(bodyOf(client.receiveMessage()), "well");
 }
 
-TEST_F(UpstreamResponseTest, TimesOutOnIncompleteHeadOrBodyInTimeForRetry) {
+TEST_F(InvalidUpstreamResponseTest, TimesOutOnIncompleteHeadOrBodyInTimeForRetry) {
     startGateway();
     Socket client = connectClient();
     client.write(safeRequest("r").text());
@@ -37,7 +37,7 @@
     EXPECT_EQ(bodyOf(client.receiveMessage()), "well");
 }
 
-TEST_F(UpstreamResponseTest, SkipsInterimResponsesAndInvalidLoadReports) {
+TEST_F(InvalidUpstreamResponseTest, SkipsInterimResponsesAndInvalidLoadReports) {
     startGateway();
     Socket client = connectClient();
     Socket connection = sendToEndpoint(client, safeRequest("r1"));
@@ -51,8 +51,8 @@
 }
 
 // Bytes keep coming, each in time after the one before: the response has a time limit as a whole.
-TEST_F(UpstreamResponseTest, TimesOutOnUnterminatedBody) {
-    startGateway(withLongDeadlines(defaultSettings()));
+TEST_F(InvalidUpstreamResponseTest, TimesOutOnUnterminatedBody) {
+    startGateway(withLongDeadlines());
     Socket client = connectClient();
     const Socket connection = sendToEndpoint(client, safeRequest("r").withTimeout(kLongTimeout));
     connection.write(kChunkedHead);
@@ -76,7 +76,7 @@
 
 class TruncatedResponseTest : public GatewayTest, public testing::WithParamInterface<TruncatedResponse> {
 protected:
-    void SetUp() override { startGateway(withLongDeadlines(defaultSettings())); }
+    void SetUp() override { startGateway(withLongDeadlines()); }
 
     // Both come to the gateway together.
     void sendTruncatedResponse(Socket& connection) {
--- a/tests/integration/pipelining_test.cpp
+++ b/tests/integration/pipelining_test.cpp
@@ -11,7 +11,7 @@
 
 class PipeliningTest : public GatewayTest {
 protected:
-    void SetUp() override { startGateway(withLongDeadlines(defaultSettings())); }
+    void SetUp() override { startGateway(withLongDeadlines()); }
 
     static RequestSpec longRequest(const std::string& id) {
         return unsafeRequest(id).withTimeout(kLongTimeout);
--- a/tests/integration/readiness_test.cpp
+++ b/tests/integration/readiness_test.cpp
@@ -5,6 +5,7 @@
 #include <string>
 #include <vector>
 
+#include "net/config/config.h"
 #include "net/discovery/poll_schedule.h"
 #include "support/failing_discovery.h"
 #include "support/gateway_test.h"
@@ -12,13 +13,13 @@
 namespace gateway::net::test {
 namespace {
 
-constexpr Duration kInitialUpdateWait = std::chrono::milliseconds(500);
+constexpr std::chrono::milliseconds kInitialUpdateWait{500};
 
 // ---- The first list of a pushing agent ------------------------------------------------------------------
 
 class InitialUpdateTest : public GatewayTest {
 protected:
-    void startGatewayThatWaits(Duration initialUpdateWait) {
+    void startGatewayThatWaits(std::chrono::milliseconds initialUpdateWait) {
         GatewayOptions options = optionsWithEndpoint(endpoint);
         options.timing.initialUpdateWait = initialUpdateWait;
         startGateway(options);
@@ -45,7 +46,7 @@
 
 class StartupReadinessTest : public testing::TestWithParam<std::string> {
 protected:
-    static Json settings() { return withDiscovery(defaultSettings(), GetParam(), 3600); }
+    static SettingsSpec settings() { return withDiscovery(GetParam(), std::chrono::hours(1)); }
 };
 
 INSTANTIATE_TEST_SUITE_P(Modes, StartupReadinessTest, testing::Values(kPolledDiscovery, kPushedDiscovery),
@@ -77,8 +78,8 @@
         std::list<GatewayProcess> gateways;
         for (int i = 0; i < kGateways; ++i) {
             GatewayOptions options = optionsWithEndpoint(endpoint, settings());
-            options.settings["balancers"] = kGateways;
-            options.settings["me"] = i;
+            options.settings.gatewayCount = kGateways;
+            options.settings.gatewayIndex = i;
             options.discovery = discovery.address();
             options.timing.initialUpdateWait = kInitialUpdateWait;
             gateways.emplace_back(options);
@@ -122,7 +123,7 @@
 TEST(EmptyListWaitTest, EndsBeforeUpdateDeadline) {
     GatewayOptions options;
     options.discovery = "127.0.0.1:1";
-    EXPECT_LT(readConfig(configDocument(options).dump()).timing.emptyListWait, kUpdateDeadline);
+    EXPECT_LT(readConfig(configDocument(options)).timing.emptyListWait, kUpdateDeadline);
 }
 
 }  // namespace
--- a/tests/integration/reload_test.cpp
+++ b/tests/integration/reload_test.cpp
@@ -12,7 +12,7 @@
     const Server newEndpoint;
     const Server newDiscovery;
     const Server thirdDiscovery;
-    startGateway(withLongDrainGracePeriod(defaultSettings()));
+    startGateway(withLongDrainGracePeriod());
     Socket oldWatch = gateway().discovery().accept();
     oldWatch.receiveMessage();
     gateway().reload(R"({"discovery": "127.0.0.1:1", )");  // half written: the addresses in use stay
--- a/tests/integration/upstream_connect_test.cpp
+++ b/tests/integration/upstream_connect_test.cpp
@@ -9,18 +9,13 @@
 namespace gateway::net::test {
 namespace {
 
-Json longDeadlines() {
-    return withLongDeadlines(defaultSettings());
-}
-
 // ---- Retries whose connection completes late ------------------------------------------------------------
 
 // One attempt that fails at `endpoint`, and its retry at a server whose connection completes late.
 class LateRetry {
 public:
-    explicit LateRetry(Json settings)
-        : gateway_(optionsWithEndpoint(endpoint_, std::move(settings))),
-          watch_(gateway_.discovery().accept()) {
+    explicit LateRetry(const SettingsSpec& settings)
+        : gateway_(optionsWithEndpoint(endpoint_, settings)), watch_(gateway_.discovery().accept()) {
         watch_.receiveMessage();
     }
 
@@ -52,7 +47,7 @@
 class LateRetryTest : public testing::Test {};
 
 TEST_F(LateRetryTest, ForwardsRemainingTimeoutWhenConnectionCompletes) {
-    LateRetry retry(longDeadlines());
+    LateRetry retry(withLongDeadlines());
     ASSERT_TRUE(retry.beginRetry(unsafeRequest("r").withTimeout(kLongTimeout),
                                  [](Socket& connection) { connection.write(kNotStartedResponse); }));
     pause(std::chrono::milliseconds(500));
@@ -63,8 +58,8 @@
 }
 
 TEST_F(LateRetryTest, SendsKeyedRetryWithinIdempotencyWindow) {
-    Json settings = longDeadlines();
-    settings["classes"][1]["windowS"] = 400;
+    SettingsSpec settings = withLongDeadlines();
+    settings.idempotencyWindow = Seconds(400);
     LateRetry retry(settings);
     ASSERT_TRUE(retry.beginRetry(keyedRequest("r").withTimeout(kLongTimeout),
                                  [](Socket& connection) { connection.reset(); }));
@@ -84,9 +79,9 @@
     // On a machine so slow that the window is over before the retry begins, a longer one is tried.
     for (double windowSeconds = 1;; windowSeconds *= 3) {
         ASSERT_LT(windowSeconds, 30);
-        Json settings = longDeadlines();
-        settings["classes"][1]["windowS"] = windowSeconds;
-        settings["classes"][1]["group"] = GetParam();
+        SettingsSpec settings = withLongDeadlines();
+        settings.idempotencyWindow = Seconds(windowSeconds);
+        settings.deduplicationScope = GetParam();
         LateRetry retry(settings);
         if (!retry.beginRetry(keyedRequest("r").withTimeout(kLongTimeout),
                               [](Socket& connection) { connection.reset(); }))
@@ -115,8 +110,8 @@
 TEST_F(UpstreamConnectTest, RetriesOnAnotherEndpointAfterConnectTimeout) {
     GatewayOptions options;
     options.knownEndpoints = {listedEndpoint("full", saturated), listedEndpoint("w", endpoint)};
-    options.settings = longDeadlines();
-    options.settings["allowed"]["dialTimeoutS"] = 0.2;
+    options.settings = withLongDeadlines();
+    options.settings.connectTimeout = Seconds(0.2);
     startGateway(options);
     Socket connection;
     for (const std::string id : {"r0", "r1", "r2", "r3"}) {
--- a/tests/net/config/config_test.cpp
+++ b/tests/net/config/config_test.cpp
@@ -23,7 +23,7 @@
     Json config{{"listen", "127.0.0.1:0"},
                 {"discovery", "127.0.0.1:1"},
                 {"seed", "1"},
-                {"settings", defaultSettings()}};
+                {"settings", Json::parse(settingsDocument())}};
     EXPECT_EQ(complaint(config.dump()), "");
     EXPECT_TRUE(contains(complaint("{"), "not JSON"));
     Json bad = config;
--- a/tests/net/counter/counter_client_test.cpp
+++ b/tests/net/counter/counter_client_test.cpp
@@ -6,6 +6,7 @@
 #include <list>
 #include <memory>
 
+#include "net/discovery/endpoint_list.h"
 #include "support/gateway_test.h"
 
 namespace gateway::net::test {
@@ -14,8 +15,7 @@
 class CounterCalls : public testing::Test {
 protected:
     GatewayOptions optionsWithCounter(double timeoutSeconds) const {
-        GatewayOptions options =
-            optionsWithEndpoint(endpoint, withCounter(defaultSettings(), timeoutSeconds));
+        GatewayOptions options = optionsWithEndpoint(endpoint, withCounter({}, Seconds(timeoutSeconds)));
         options.counter = counter.address();
         return options;
     }
--- a/tests/net/discovery/discovery_client_test.cpp
+++ b/tests/net/discovery/discovery_client_test.cpp
@@ -43,15 +43,14 @@
         ADD_FAILURE() << "the list is not in force";
     }
 
-    Json knownEntry() const { return listedEndpoint("known", knownEndpoint_); }
-    Json newEntry() const { return listedEndpoint("new", newEndpoint_); }
+    ListedEndpoint knownEntry() const { return listedEndpoint("known", knownEndpoint_); }
+    ListedEndpoint newEntry() const { return listedEndpoint("new", newEndpoint_); }
 
 private:
     GatewayOptions optionsFor(const std::string& mode, const Server* discovery) const {
         GatewayOptions options;
         options.knownEndpoints = {knownEntry()};
-        // An interval that allows all waits.
-        options.settings = withDiscovery(defaultSettings(), mode, 3600);
+        options.settings = withDiscovery(mode, std::chrono::hours(1));  // which allows all waits
         if (discovery != nullptr) options.discovery = discovery->address();
         return options;
     }
--- a/tests/net/discovery/watch_stream_test.cpp
+++ b/tests/net/discovery/watch_stream_test.cpp
@@ -10,9 +10,9 @@
 
 class WatchStreamTest : public GatewayTest {
 protected:
-    void startGatewayWithoutEndpoints(Json settings = defaultSettings()) {
+    void startGatewayWithoutEndpoints(const SettingsSpec& settings = {}) {
         GatewayOptions options;
-        options.settings = std::move(settings);
+        options.settings = settings;
         startGateway(options);
     }
 
@@ -35,7 +35,7 @@
 
 TEST_F(WatchStreamTest, ReconnectsFromKnownVersionAndRemovesEndpointsThatSnapshotLacks) {
     const Server newEndpoint;
-    startGateway(withLongDrainGracePeriod(defaultSettings()));
+    startGateway(withLongDrainGracePeriod());
     {
         Socket watch = gateway().discovery().accept();
         EXPECT_TRUE(contains(watch.receiveMessage(), "GET /api/targets?follow=1&since=41 "));
@@ -54,18 +54,15 @@
 // The end of a line within an object does not end it, nor does a bracket within a string.
 TEST_F(WatchStreamTest, ParsesIndentedSplitAndConcatenatedDocuments) {
     const Server newEndpoint;
-    startGateway(withLongDrainGracePeriod(defaultSettings()));
-    Json listed = listedEndpoint("b", newEndpoint);
-    listed["note"] = "}{ \\\" ]";
-    const auto indented = [&listed](int index, int width) {
-        return Json::parse(snapshotDocument(index, {listed})).dump(width);
-    };
-    const std::string split = indented(43, 2);
+    startGateway(withLongDrainGracePeriod());
+    ListedEndpoint listed = listedEndpoint("b", newEndpoint);
+    listed.note = "}{ \\\" ]";
+    const std::string split = snapshotDocument(43, {listed}, 2);
     {
         const Socket watch = acceptCall();
         watch.write(kChunkedHead + chunk("\n") + chunk(split.substr(0, 40)) +
                     chunk(split.substr(40) + "\n\n") +
-                    chunk(indented(44, 4) + snapshotDocument(45, {listed})));
+                    chunk(snapshotDocument(44, {listed}, 4) + snapshotDocument(45, {listed})));
     }
     const Socket watch = acceptWatchFrom(45);
     expectServedBy(gateway(), newEndpoint, 3);
@@ -116,8 +113,8 @@
     replaceAll();
     const long before = gateway().residentKilobytes();
     for (int round = 0; round < kRounds; ++round) {
-        EndpointEntries added;
-        EndpointEntries removed;
+        ListedEndpoints added;
+        ListedEndpoints removed;
         for (int i = 0; i < kEndpointsPerRound; ++i) {
             const std::string name = "s-" + std::to_string(round) + "-" + std::to_string(i);
             added.push_back(listedEndpoint(name, endpoint));
@@ -159,7 +156,7 @@
     static constexpr int kPauseMs = 2000;  // shorter than the usual period of 4.5 s
 
     void SetUp() override {
-        startGatewayWithoutEndpoints(withDiscovery(defaultSettings(), kPolledDiscovery, 3600));
+        startGatewayWithoutEndpoints(withDiscovery(kPolledDiscovery, std::chrono::hours(1)));
     }
 };
 
--- a/tests/net/transport/backoff_spread_test.cpp
+++ b/tests/net/transport/backoff_spread_test.cpp
@@ -1,14 +1,14 @@
-#include "net/transport/backoff.h"
-
 #include <gtest/gtest.h>
 
 #include <algorithm>
 #include <vector>
 
+#include "net/transport/backoff.h"
+
 namespace gateway::net::test {
 namespace {
 
-TEST(BackoffTest, SpreadsWaitsEvenlyUpToBoundThatDoublesUntilReset) {
+TEST(BackoffSpreadTest, SpreadsWaitsEvenlyUpToBoundThatDoublesUntilReset) {
     constexpr int kBackoffs = 400;
     constexpr int kTenths = 10;
     constexpr int kMaxPerTenth = 2 * kBackoffs / kTenths;  // twice as many as in an even spread
--- a/tests/net/transport/timer_exception_test.cpp
+++ b/tests/net/transport/timer_exception_test.cpp
@@ -1,10 +1,10 @@
-#include "net/transport/timer_queue.h"
-
 #include <gtest/gtest.h>
 
 #include <boost/asio/io_context.hpp>
 #include <stdexcept>
 
+#include "net/transport/timer_queue.h"
+
 namespace gateway::net::test {
 namespace {
 
@@ -19,7 +19,7 @@
     }
 }
 
-TEST(TimerQueueTest, RunsOtherTimersAfterOneThatThrows) {
+TEST(TimerExceptionTest, DoesNotStopOtherTimers) {
     boost::asio::io_context loop;
     TimerQueue timers(loop);
     bool hasFired = false;
--- a/tests/support/gateway_options.h
+++ b/tests/support/gateway_options.h
@@ -3,74 +3,110 @@
 
 #include <sys/resource.h>
 
+#include <chrono>
+#include <optional>
 #include <string>
 #include <vector>
 
-#include "net/config/config.h"
-#include "settings/json_fields.h"
 #include "support/loopback_socket.h"
 
 namespace gateway::net::test {
 
-using gateway::Json;
-
 // ---- Endpoint lists -------------------------------------------------------------------------------------
 
-using EndpointEntries = std::vector<Json>;
+// One entry of a list, as discovery sends it.
+struct ListedEndpoint {
+    std::string name;
+    std::string address;
+    std::string status;     // "in_service", "terminating" or "terminated"
+    std::string note = {};  // a field that the gateway does not know
+};
+using ListedEndpoints = std::vector<ListedEndpoint>;
+
+ListedEndpoint listedEndpoint(const std::string& name, const Server& server,
+                              const std::string& status = "in_service");
 
-// The entry of an endpoint at `server`. `status` is "in_service", "terminating" or "terminated".
-Json listedEndpoint(const std::string& name, const Server& server, const std::string& status = "in_service");
+constexpr int kOneLine = -1;
 
 // A list that is complete, or that has only what changed, as a JSON document.
-std::string snapshotDocument(int index, const EndpointEntries& endpoints);
-std::string deltaDocument(int index, const EndpointEntries& endpoints);
+std::string snapshotDocument(int index, const ListedEndpoints& endpoints, int indentation = kOneLine);
+std::string deltaDocument(int index, const ListedEndpoints& endpoints);
 
 // The same as one line of a watch, in a chunk of its own.
-std::string snapshotChunk(int index, const EndpointEntries& endpoints);
-std::string deltaChunk(int index, const EndpointEntries& endpoints);
+std::string snapshotChunk(int index, const ListedEndpoints& endpoints);
+std::string deltaChunk(int index, const ListedEndpoints& endpoints);
 
 // ---- Settings -------------------------------------------------------------------------------------------
 
+using Seconds = std::chrono::duration<double>;
+
 // The values of the setting "discovery".
 constexpr const char* kPushedDiscovery = "push";
 constexpr const char* kPolledDiscovery = "ask";
 
-// Three classes ("load" safe, "change" keyed, "spend" unsafe), a plan with a quota ("team") and one without
-// ("free"), an agent that pushes endpoint lists, and no counter.
-Json defaultSettings();
+// The settings of the fleet: three classes ("load" safe, "change" keyed, "spend" unsafe), a plan with a quota
+// ("team") and one without ("free").
+struct SettingsSpec {
+    int gatewayIndex = 0;
+    int gatewayCount = 3;
+    Seconds latencyObjective{9};  // of each class, as the deadline
+    Seconds deadline{9};
+    Seconds idempotencyWindow{30};               // of the keyed class
+    std::string deduplicationScope = "cell";     // the same: "all", "zone" or "cell"
+    double quotaRate = 0.01;                     // of the plan with a quota: cost per second
+    double quotaBurst = 40;                      // the same: cost
+    std::optional<Seconds> counterTimeout = {};  // nothing: the counter is not called
+    bool reconciliationEnabled = false;
+    bool cancellationAllowed = true;
+    Seconds connectTimeout{5};
+    Seconds drainGracePeriod{0.05};
+    std::string discovery = kPushedDiscovery;
+    std::optional<Seconds> maxPollInterval = {};
+};
 
 // Objectives and deadlines of 400 s, so that no wait, all of which are fractions of them, ends by itself.
-Json withLongDeadlines(Json settings);
-Json withCounter(Json settings, double timeoutSeconds);
-// `mode`: kPushedDiscovery or kPolledDiscovery; a polled one may go uncalled for `maxPollIntervalSeconds`.
-Json withDiscovery(Json settings, const std::string& mode, int maxPollIntervalSeconds);
-Json withoutCancellation(Json settings);
+SettingsSpec withLongDeadlines(SettingsSpec settings = {});
+SettingsSpec withCounter(SettingsSpec settings, Seconds timeout);
+// `mode`: kPushedDiscovery or kPolledDiscovery; a polled one may go uncalled for `maxPollInterval`.
+SettingsSpec withDiscovery(const std::string& mode, Seconds maxPollInterval);
+SettingsSpec withoutCancellation(SettingsSpec settings);
 // Draining endpoints may be used for 10 min, so that only the endpoint list keeps attempts away from them.
-Json withLongDrainGracePeriod(Json settings);
+SettingsSpec withLongDrainGracePeriod();
+
+// The JSON document of the key "settings".
+std::string settingsDocument(const SettingsSpec& settings = {});
 
 // ---- The process ----------------------------------------------------------------------------------------
 
-// No waits at the start or before a connection is reused; after SIGTERM it keeps listening, and idle
-// connections open, for 3 s, so that a slow machine sees it.
-Timing testTiming();
+// What a test may change of net::Timing, by the same names. Where there is no value the default holds.
+struct TimingSpec {
+    using Milliseconds = std::chrono::milliseconds;
+
+    // Long enough for a slow machine to see the gateway listen after SIGTERM.
+    Milliseconds listenAfterShutdown{3000};
+    Milliseconds idleGracePeriod{3000};
+    Milliseconds initialUpdateWait{0};
+    Milliseconds reuseDelay{0};
+    std::optional<Milliseconds> emptyListWait = {};
+    std::optional<Milliseconds> maxPartialTime = {};
+};
 
 struct GatewayOptions {
-    EndpointEntries knownEndpoints = {};  // the list that it starts with, of index 41
-    Json settings = defaultSettings();
+    ListedEndpoints knownEndpoints = {};  // the list that it starts with, of index kKnownIndex
+    SettingsSpec settings = {};
     std::string discovery = {};  // address; empty: GatewayProcess::discovery()
     std::string counter = {};    // address; empty: none
     int maxSockets = 256;        // that the configuration allows
-    Timing timing = testTiming();
+    TimingSpec timing = {};
     rlim_t maxDescriptors = 0;  // that the system allows the process; 0: not limited
 };
 
-// The index of GatewayOptions::knownEndpoints.
 constexpr int kKnownIndex = 41;
 
 // A gateway that knows one endpoint, "w".
-GatewayOptions optionsWithEndpoint(const Server& endpoint, Json settings = defaultSettings());
+GatewayOptions optionsWithEndpoint(const Server& endpoint, const SettingsSpec& settings = {});
 
-// The document that EDGE_CONFIG names.
-Json configDocument(const GatewayOptions& options);
+// The JSON document that EDGE_CONFIG names.
+std::string configDocument(const GatewayOptions& options);
 
 }  // namespace gateway::net::test
--- a/tests/support/gateway_process.cpp
+++ b/tests/support/gateway_process.cpp
@@ -29,6 +29,17 @@
     ::setrlimit(RLIMIT_NOFILE, &limit);
 }
 
+Timing timingOf(const TimingSpec& spec) {
+    Timing timing;
+    timing.listenAfterShutdown = spec.listenAfterShutdown;
+    timing.idleGracePeriod = spec.idleGracePeriod;
+    timing.initialUpdateWait = spec.initialUpdateWait;
+    timing.reuseDelay = spec.reuseDelay;
+    if (spec.emptyListWait) timing.emptyListWait = *spec.emptyListWait;
+    if (spec.maxPartialTime) timing.maxPartialTime = *spec.maxPartialTime;
+    return timing;
+}
+
 }  // namespace
 
 GatewayProcess::GatewayProcess(GatewayOptions options)
@@ -56,8 +67,8 @@
     ::setenv("EDGE_DISCOVERY", options_.discovery.c_str(), 1);
     limitDescriptors(options_.maxDescriptors);
     try {
-        Config config = readConfig(configDocument(options_).dump());
-        config.timing = options_.timing;
+        Config config = readConfig(configDocument(options_));
+        config.timing = timingOf(options_.timing);
         serve(config, [reportTo](const Config::Address& address) {
             const unsigned short port = address.port();
             if (::write(reportTo, &port, sizeof port) != sizeof port) std::abort();
@@ -86,7 +97,7 @@
     GatewayOptions changed = options_;
     changed.discovery = discovery.address();
     if (counter != nullptr) changed.counter = counter->address();
-    reload(configDocument(changed).dump());
+    reload(configDocument(changed));
 }
 
 void GatewayProcess::terminate() const {
--- a/tests/support/gateway_test.cpp
+++ b/tests/support/gateway_test.cpp
@@ -54,8 +54,8 @@
     return gateway_.emplace(std::move(options));
 }
 
-GatewayProcess& GatewayTest::startGateway(Json settings) {
-    return startGateway(optionsWithEndpoint(endpoint, std::move(settings)));
+GatewayProcess& GatewayTest::startGateway(const SettingsSpec& settings) {
+    return startGateway(optionsWithEndpoint(endpoint, settings));
 }
 
 Socket GatewayTest::sendToEndpoint(const Socket& client, const RequestSpec& request) const {
--- a/tests/support/gateway_test.h
+++ b/tests/support/gateway_test.h
@@ -42,7 +42,7 @@
 protected:
     GatewayProcess& startGateway(GatewayOptions options);
     // In front of `endpoint` alone.
-    GatewayProcess& startGateway(Json settings = defaultSettings());
+    GatewayProcess& startGateway(const SettingsSpec& settings = {});
 
     GatewayProcess& gateway() { return *gateway_; }
     Socket connectClient() const { return gateway_->connectClient(); }
--- a/tests/support/request_spec.h
+++ b/tests/support/request_spec.h
@@ -1,4 +1,4 @@
-// Requests as clients send them to a gateway with the settings of defaultSettings().
+// Requests as clients send them to a gateway with the settings of SettingsSpec.
 #pragma once
 
 #include <chrono>
