--- a/tests/integration/counter_calls_test.cpp
+++ b/tests/integration/counter_calls_test.cpp
@@ -14,9 +14,8 @@
 
 class CounterCallsTest : public testing::Test {
 protected:
-    GatewayOptions optionsWithCounter(double timeoutSeconds) const {
-        GatewayOptions options =
-            optionsWithEndpoint(endpoint, withCounter(defaultSettings(), timeoutSeconds));
+    GatewayOptions optionsWithCounter(Seconds timeout) const {
+        GatewayOptions options = optionsWithEndpoint(endpoint, withCounter({}, timeout));
         options.counter = counter.address();
         return options;
     }
@@ -39,7 +38,7 @@
     }
 
     Server endpoint, counter;
-    GatewayProcess gateway{optionsWithCounter(0.2)};
+    GatewayProcess gateway{optionsWithCounter(Seconds(0.2))};
     Socket client = gateway.connectClient();
     const std::string tenant = tenantWithYoungSlice();
 };
@@ -65,11 +64,11 @@
     EXPECT_TRUE(contains(connection.receiveMessage(), "?add=1&"));
     connection.write(okResponse("1"));
     // The gateway also reads the closed slice; its name decides whether that goes over the same connection.
-    pollfd either[2] = {{connection.fd(), POLLIN, 0}, {counter.fd(), POLLIN, 0}};
-    ASSERT_GT(::poll(either, 2, kTestTimeoutMs), 0);
+    waitForReadable({&connection, &counter});
+    const bool isSameConnection = connection.waitReadable(0);
     Socket other;
-    if (either[0].revents == 0) other = counter.accept();
-    Socket& read = either[0].revents == 0 ? other : connection;
+    if (!isSameConnection) other = counter.accept();
+    Socket& read = isSameConnection ? connection : other;
     EXPECT_TRUE(contains(read.receiveMessage(), "?add=0&"));
     read.write(okResponse("0"));
     Socket attempt = endpoint.accept();
@@ -93,9 +92,8 @@
     // After a timeout only a random sample of the requests calls the counter: the others are served.
     for (int i = 2; i < 30; ++i) {
         client.write(countedRequest("r" + std::to_string(i)).text());
-        pollfd either[2] = {{connection.fd(), POLLIN, 0}, {endpoint.fd(), POLLIN, 0}};
-        ASSERT_GT(::poll(either, 2, kTestTimeoutMs), 0);
-        if (either[0].revents != 0) break;
+        waitForReadable({&connection, &endpoint});
+        if (connection.waitReadable(0)) break;
         serveAttemptAndClose();
     }
     connection.receiveMessage();
@@ -153,7 +151,7 @@
 // The engine takes replies for a name in the order of the calls: nothing goes to the new counter while a call
 // is in flight at the old one, and no call is made at both.
 TEST_F(CounterCallsTest, AfterReloadFinishesCallsAtOldCounterBeforeCallingNewOne) {
-    GatewayProcess slow{optionsWithCounter(20)};
+    GatewayProcess slow{optionsWithCounter(Seconds(20))};
     Socket first = slow.connectClient(), second = slow.connectClient();
     first.write(countedRequest("r1").text());
     Socket old = counter.accept();
@@ -168,14 +166,13 @@
     old.write(okResponse("5"));
     Socket firstAttempt = endpoint.accept();
     firstAttempt.receiveMessage();
-    std::vector<pollfd> polls;
-    polls.reserve(lanes.size());
-    for (const Socket& lane : lanes) polls.push_back({lane.fd(), POLLIN, 0});
-    ASSERT_EQ(::poll(polls.data(), polls.size(), kTestTimeoutMs), 1);
-    for (std::size_t i = 0; i < lanes.size(); ++i) {
-        if (polls[i].revents == 0) continue;
-        EXPECT_TRUE(contains(lanes[i].receiveMessage(), "?add=1&"));
-        lanes[i].write(okResponse("6"));
+    std::vector<const Socket*> waiting;
+    for (const Socket& lane : lanes) waiting.push_back(&lane);
+    ASSERT_EQ(waitForReadable(waiting).size(), 1u);
+    for (Socket& lane : lanes) {
+        if (!lane.waitReadable(0)) continue;
+        EXPECT_TRUE(contains(lane.receiveMessage(), "?add=1&"));
+        lane.write(okResponse("6"));
     }
     Socket secondAttempt = endpoint.accept();
     secondAttempt.receiveMessage();
