--- a/tests/decision/quota/ceiling_bucket_test.cpp
+++ b/tests/decision/quota/ceiling_bucket_test.cpp
@@ -1,4 +1,6 @@
-// Ceilings, which hold without replies of the counter, observed through the engine.
+// Ceilings, which hold without replies of the counter, alone and observed through the engine.
+#include "decision/quota/ceiling_bucket.h"
+
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -169,5 +171,53 @@
                                          FailingCounterCase{"Two", 2}, FailingCounterCase{"All", 4}),
                          labelOf);
 
+// The bucket alone. The tenant's part of the ceiling fills by 5 per second up to 10.
+class CeilingTokensTest : public testing::Test {
+protected:
+    static constexpr TimePoint kStart{milliseconds(100'000)};
+
+    CeilingTokensTest() {
+        settings.counterEnabled = false;
+        plan.ceilingRate = 10;
+        plan.ceilingBurst = 20;
+        tenant.entryPoints = 2;
+    }
+
+    bool tryDraw(double cost, Duration sinceStart) {
+        return bucket.tryDraw(tenant, plan, cost, kStart + sinceStart, kStart);
+    }
+
+    Settings settings;
+    QuotaPlan plan;
+    Tenant tenant;
+    CeilingBucket bucket{settings};
+};
+
+TEST_F(CeilingTokensTest, DrawsNothingWithTooFewTokens) {
+    EXPECT_FALSE(tryDraw(6, milliseconds(1000)));
+    EXPECT_DOUBLE_EQ(tenant.ceiling.tokens, 5);
+    EXPECT_TRUE(tryDraw(5, milliseconds(1000)));
+    EXPECT_DOUBLE_EQ(tenant.ceiling.tokens, 0);
+}
+
+TEST_F(CeilingTokensTest, FillsUpToItsCapacity) {
+    EXPECT_TRUE(tryDraw(0, milliseconds(60'000)));
+    EXPECT_DOUBLE_EQ(tenant.ceiling.tokens, 10);
+}
+
+TEST_F(CeilingTokensTest, RefundsConfirmedCostUpToItsCapacity) {
+    EXPECT_TRUE(tryDraw(4, milliseconds(60'000)));
+    bucket.refundConfirmed(tenant, plan, 3);
+    EXPECT_DOUBLE_EQ(tenant.ceiling.tokens, 9);
+    bucket.refundConfirmed(tenant, plan, 3);
+    EXPECT_DOUBLE_EQ(tenant.ceiling.tokens, 10);
+}
+
+TEST_F(CeilingTokensTest, RefundsTheCostOfAnUnsentRequest) {
+    EXPECT_TRUE(tryDraw(4, milliseconds(60'000)));
+    CeilingBucket::refundUnsent(tenant, 4);
+    EXPECT_DOUBLE_EQ(tenant.ceiling.tokens, 10);
+}
+
 }  // namespace
 }  // namespace gateway
