--- a/src/decision/upstream/endpoint.cpp
+++ b/src/decision/upstream/endpoint.cpp
@@ -5,6 +5,7 @@
 bool Endpoint::applyEntry(const EndpointEntry& entry, double maxInFlight) {
     const bool hasRestarted = entry.startedAt > entry_.startedAt;
     entry_ = entry;
+    usable_ = entry.availability == Availability::up;
     if (!hasRestarted) return false;
     subsetShare_ = 1;
     load_ = EndpointLoad{};
@@ -14,6 +15,11 @@
     return true;
 }
 
+void Endpoint::markRemoved() {
+    entry_.availability = Availability::removed;
+    usable_ = false;
+}
+
 void Endpoint::beginAttempt(double work) {
     concurrency_.beginAttempt();
     slowStartTokens_.spend(work);
--- a/src/decision/upstream/endpoint.h
+++ b/src/decision/upstream/endpoint.h
@@ -11,7 +11,7 @@
 namespace gateway {
 
 // Owns the state of its parts; each part is changed only through the operations here. Invariants: the subset
-// share lies between 0 and 1; an endpoint that is not listed is not usable.
+// share lies between 0 and 1; an endpoint is usable if and only if its entry's availability is `up`.
 class Endpoint {
 public:
     // An endpoint that is not listed yet. `maxInFlight`: its initial concurrency limit in attempts.
@@ -25,12 +25,12 @@
     bool applyEntry(const EndpointEntry& entry, double maxInFlight);
 
     // The endpoint is no longer listed.
-    void markRemoved() { entry_.availability = Availability::removed; }
+    void markRemoved();
 
     const EndpointEntry& entry() const { return entry_; }
 
     // Whether the endpoint is listed and not draining.
-    bool isUsable() const { return entry_.availability == Availability::up; }
+    bool isUsable() const { return usable_; }
 
     // Whether the endpoint is no longer listed and has no attempt in flight, so that it can be forgotten.
     bool isUnused() const { return entry_.availability == Availability::removed && inFlight() == 0; }
@@ -47,7 +47,7 @@
     // Attempts of this gateway in flight at the endpoint.
     int inFlight() const { return concurrency_.inFlight(); }
     bool hasCapacity() const { return concurrency_.hasCapacity(); }
-    bool isEjected(TimePoint now) const { return outlier_.isEjected(inFlight() > 0, now); }
+    bool isEjected(TimePoint now) const { return outlier_.isEjected(inFlight(), now); }
 
     const EndpointLoad& load() const { return load_; }
     const OutlierDetector& outlier() const { return outlier_; }
@@ -63,6 +63,7 @@
 
 private:
     EndpointEntry entry_;
+    bool usable_ = false;  // the entry's availability is `up`
     double subsetShare_ = 1;
     EndpointLoad load_;
     OutlierDetector outlier_;
--- a/src/decision/upstream/endpoint_picker.cpp
+++ b/src/decision/upstream/endpoint_picker.cpp
@@ -43,7 +43,8 @@
         slowStart_.accrueTokens(endpoint, capacityShare, endpoints_.capacity());
         if (!SlowStart::mayReceiveAttempt(endpoint, capacityShare)) continue;
         if (!canDeduplicate(endpoint, request)) continue;
-        const double cost = addPenalties(baseCost(endpoint, capacityShare, now, random), slot, request);
+        double cost = baseCost(endpoint, capacityShare, now, random);
+        cost = addPenalties(cost, slot, endpoint, request);
         if (cost >= lowestCost) continue;
         best = slot;
         lowestCost = cost;
@@ -106,9 +107,10 @@
     return 1 + endpoint.inFlight() + mean + (endpoint.load().remoteInFlight() - mean) * freshness;
 }
 
-double EndpointPicker::addPenalties(double cost, std::size_t slot, const Request& request) const {
-    const bool isSafe = termsOf(request).idempotency == Idempotency::safe;
-    if (endpoints_.at(slot).outlier().isOnProbation() && !isSafe) cost *= kProbationCostMultiplier;
+double EndpointPicker::addPenalties(double cost, std::size_t slot, const Endpoint& endpoint,
+                                    const Request& request) const {
+    if (endpoint.outlier().isOnProbation() && termsOf(request).idempotency != Idempotency::safe)
+        cost *= kProbationCostMultiplier;
     for (const Attempt& attempt : request.attempts)
         if (attempt.endpointSlot == slot) cost *= kRepeatedCostMultiplier;
     return cost;
--- a/src/decision/upstream/endpoint_picker.h
+++ b/src/decision/upstream/endpoint_picker.h
@@ -41,7 +41,8 @@
     double baseCost(const Endpoint& endpoint, double capacityShare, TimePoint now,
                     RandomSource& random) const;
     double expectedInFlight(const Endpoint& endpoint, double freshness) const;
-    double addPenalties(double cost, std::size_t slot, const Request& request) const;
+    double addPenalties(double cost, std::size_t slot, const Endpoint& endpoint,
+                        const Request& request) const;
     const RequestClass& termsOf(const Request& request) const;
 
     const Settings& settings_;
--- a/src/decision/upstream/outlier_detector.h
+++ b/src/decision/upstream/outlier_detector.h
@@ -14,10 +14,10 @@
     // against the endpoint.
     void observe(Outcome outcome, TimePoint now);
 
-    // Whether the endpoint must not receive another attempt now. An endpoint on probation admits one attempt
-    // at a time.
-    bool isEjected(bool hasAttemptInFlight, TimePoint now) const {
-        return now < ejectedUntil_ || (onProbation_ && hasAttemptInFlight);
+    // Whether the endpoint must not receive another attempt now, while it has `inFlight` attempts. An
+    // endpoint on probation admits one attempt at a time.
+    bool isEjected(int inFlight, TimePoint now) const {
+        return now < ejectedUntil_ || (onProbation_ && inFlight > 0);
     }
 
     // Whether the endpoint was ejected and has not served an attempt since.
--- a/src/decision/upstream/slow_start.cpp
+++ b/src/decision/upstream/slow_start.cpp
@@ -16,11 +16,10 @@
 
 }  // namespace
 
-double SlowStart::capacityShare(const EndpointEntry& entry, TimePoint now) const {
-    if (entry.startedAt <= TimePoint{} || settings_.slowStartDuration <= Duration{}) return 1;
-    const double age = toSeconds(now - entry.startedAt) / toSeconds(settings_.slowStartDuration);
+double SlowStart::rampShare(Duration age) const {
+    const double progress = std::max(toSeconds(age) / toSeconds(settings_.slowStartDuration), 0.0);
     const double initial = settings_.slowStartInitialShare;
-    return age >= 1 ? 1 : initial + (1 - initial) * std::max(age, 0.0);
+    return initial + (1 - initial) * progress;
 }
 
 void SlowStart::startTokens(Endpoint& endpoint) const {
--- a/src/decision/upstream/slow_start.h
+++ b/src/decision/upstream/slow_start.h
@@ -24,7 +24,9 @@
     SlowStart(const Settings& settings, const EndpointStats& stats) : settings_(settings), stats_(stats) {}
 
     // Share of its full capacity that an endpoint has now, from the settings' initial share up to 1.
-    double capacityShare(const EndpointEntry& entry, TimePoint now) const;
+    double capacityShare(const EndpointEntry& entry, TimePoint now) const {
+        return isRampOver(entry, now) ? 1 : rampShare(now - entry.startedAt);
+    }
 
     // Whether the endpoint has less than its full capacity.
     bool isWarmingUp(const EndpointEntry& entry, TimePoint now) const {
@@ -52,6 +54,14 @@
     void recordUnserved(double work, TimePoint now);
 
 private:
+    // Inline, since the picker asks this for every endpoint.
+    bool isRampOver(const EndpointEntry& entry, TimePoint now) const {
+        const Duration duration = settings_.slowStartDuration;
+        return entry.startedAt <= TimePoint{} || duration <= Duration{} || now - entry.startedAt >= duration;
+    }
+    // Precondition: the ramp is not over at this age. A negative age counts as 0.
+    double rampShare(Duration age) const;
+
     double endpointCapacity(const Endpoint& endpoint, double capacityShare, const FleetCapacity& fleet) const;
     double fleetCapacity(const FleetCapacity& fleet) const;
     double budgetMultiplier(const FleetCapacity& fleet) const;
--- a/tests/decision/upstream/outlier_detector_test.cpp
+++ b/tests/decision/upstream/outlier_detector_test.cpp
@@ -25,30 +25,30 @@
 
 TEST_F(OutlierDetectorTest, EjectsEndpointAfterConsecutiveErrors) {
     observeErrors(2);
-    EXPECT_FALSE(detector.isEjected(false, kNow));
+    EXPECT_FALSE(detector.isEjected(0, kNow));
     observeErrors(1);  // 1 - 0.85^3 is past 0.3
-    EXPECT_TRUE(detector.isEjected(false, kNow));
+    EXPECT_TRUE(detector.isEjected(0, kNow));
 }
 
 TEST_F(OutlierDetectorTest, EjectsUnreachableEndpointAtOnce) {
     detector.observe(Outcome::connectFailed, kNow);
-    EXPECT_TRUE(detector.isEjected(false, kNow));
+    EXPECT_TRUE(detector.isEjected(0, kNow));
 }
 
 TEST_F(OutlierDetectorTest, IgnoresTimeoutsAndAttemptsThatTheGatewayGaveUp) {
     for (int i = 0; i < 50; ++i)
         for (const Outcome outcome : {Outcome::timedOut, Outcome::cancelled, Outcome::notSent})
             detector.observe(outcome, kNow);
-    EXPECT_FALSE(detector.isEjected(false, kNow));
+    EXPECT_FALSE(detector.isEjected(0, kNow));
 }
 
 TEST_F(OutlierDetectorTest, AdmitsOneAttemptAtATimeOnProbation) {
     observeErrors(3);
     const TimePoint ejectionEnd = kNow + seconds(1);
-    EXPECT_FALSE(detector.isEjected(false, ejectionEnd));
-    EXPECT_TRUE(detector.isEjected(true, ejectionEnd));
+    EXPECT_FALSE(detector.isEjected(0, ejectionEnd));
+    EXPECT_TRUE(detector.isEjected(1, ejectionEnd));
     detector.observe(Outcome::ok, ejectionEnd);
-    EXPECT_FALSE(detector.isEjected(true, ejectionEnd));
+    EXPECT_FALSE(detector.isEjected(1, ejectionEnd));
 }
 
 TEST_F(OutlierDetectorTest, DoublesConsecutiveEjectionsUpToTheMaximum) {
