--- a/tests/decision/upstream/slow_start_fleet_test.cpp
+++ b/tests/decision/upstream/slow_start_fleet_test.cpp
@@ -1,116 +1,146 @@
-// What all gateways send to endpoints that are warming up stays within the settings.
+// What all gateways together send to endpoints that are warming up stays within the settings.
 #include "support/slow_start_fleet.h"
 
 #include <gtest/gtest.h>
 
+#include <algorithm>
+#include <cstdio>
+#include <string>
+
 namespace gateway {
 namespace {
 
-class SlowStartFleet : public testing::TestWithParam<Scenario> {};
+class SlowStartFleetTest : public testing::TestWithParam<FleetScenario> {
+protected:
+    static constexpr double kMinUsedShare = 0.5;  // of the possible work, at full load
+
+    // Plays the scenario with each of its seeds.
+    static OverloadTally playAllSeeds(const FleetScenario& scenario) {
+        OverloadTally sum;
+        for (int seed = 1; seed <= scenario.seedCount; ++seed)
+            sum.add(SlowStartFleet(scenario, static_cast<std::uint64_t>(seed)).run());
+        return sum;
+    }
+
+    static double ratio(long part, long whole) {
+        return static_cast<double>(part) / static_cast<double>(whole);
+    }
+
+    static void print(const FleetScenario& scenario, const OverloadTally& tally) {
+        std::printf(
+            "%-32s windows %7ld over bound %.5f (by initial capacity %.5f) fullest %.2f of allowance, "
+            "%.2f of bound (%.2f) received %.3f of possible work, served %.4f of requests\n",
+            scenario.name, tally.windows, ratio(tally.windowsOverBound, tally.windows),
+            ratio(tally.windowsOverInitialBound, tally.windows), tally.maxShareOfAllowance,
+            tally.maxShareOfBound, tally.maxShareOfInitialBound, tally.receivedWork / tally.possibleWork,
+            ratio(tally.served, tally.requested));
+    }
+};
 
-TEST_P(SlowStartFleet, StaysWithinWhatTheSettingsAllow) {
-    const Scenario& sc = GetParam();
-    Tally sum;
-    for (int seed = 1; seed <= sc.seeds; ++seed) sum.add(StandIn(sc, static_cast<std::uint64_t>(seed)).run());
-    std::printf(
-        "%-26s windows %7ld over %.5f (by begin %.5f) fullest %.2f N, %.2f of bound (%.2f) "
-        "warming took %.3f of capacity, served %.4f\n",
-        sc.name, sum.windows, static_cast<double>(sum.over) / static_cast<double>(sum.windows),
-        static_cast<double>(sum.overByBegin) / static_cast<double>(sum.windows), sum.fullest,
-        sum.fullestOfBound, sum.fullestByBegin, sum.taken / sum.couldDo,
-        static_cast<double>(sum.served) / static_cast<double>(sum.polled));
-    EXPECT_GT(sum.windows, 0);
-    EXPECT_EQ(sum.over, 0);
-    EXPECT_GE(sum.taken / sum.couldDo, 0.5 * std::min(sc.load, 1.0));  // nor does one starve
+TEST_P(SlowStartFleetTest, KeepsEveryWindowWithinTheBoundAndUsesEndpointsThatAreWarmingUp) {
+    const FleetScenario& scenario = GetParam();
+    const OverloadTally tally = playAllSeeds(scenario);
+    print(scenario, tally);
+    EXPECT_GT(tally.windows, 0);
+    EXPECT_EQ(tally.windowsOverBound, 0);
+    EXPECT_GE(tally.receivedWork / tally.possibleWork, kMinUsedShare * std::min(scenario.load, 1.0));
 }
 
+// One row for each scenario; its first line has the size and the load of the fleet.
 // clang-format off
-const Scenario kScenarios[] = {
-    // Thick traffic.
-    {.name = "Thick20Half", .gatewayCount = 20, .servers = 12, .cores = 4, .meanWork = 0.05, .load = 0.5},
-    {.name = "Thick20Busy", .gatewayCount = 20, .servers = 12, .cores = 4, .meanWork = 0.05, .load = 0.8},
-    {.name = "Thick20Over", .gatewayCount = 20, .servers = 12, .cores = 4, .meanWork = 0.05, .load = 1.5},
-    {.name = "Thick30Full", .gatewayCount = 30, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 0.95,
-     .seeds = 1},
-    {.name = "Thick30Over", .gatewayCount = 30, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 1.5,
-     .seeds = 1},
-    {.name = "Thick300Half", .gatewayCount = 300, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 0.5,
-     .seeds = 1},
-    {.name = "Thick300Full", .gatewayCount = 300, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 0.95,
-     .seeds = 1},
-    {.name = "Thick300Over", .gatewayCount = 300, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 1.5,
-     .seeds = 1},
-    {.name = "Wide300Busy", .gatewayCount = 300, .servers = 200, .cores = 2, .meanWork = 0.1, .load = 0.8,
-     .seeds = 1},
-    // Thin traffic: each gateway gets less than one request a second.
-    {.name = "Thin20", .gatewayCount = 20, .servers = 12, .cores = 1, .meanWork = 0.5, .load = 0.66,
-     .seeds = 12},
-    {.name = "Thin30", .gatewayCount = 30, .servers = 12, .cores = 1, .meanWork = 0.4, .load = 0.8,
-     .seeds = 12},
-    {.name = "Thin300", .gatewayCount = 300, .servers = 12, .cores = 2, .meanWork = 0.08, .load = 0.8,
-     .seeds = 3},
-    {.name = "Thin300Quiet", .gatewayCount = 300, .servers = 12, .cores = 2, .meanWork = 0.08, .load = 0.2,
-     .seeds = 3},
-    {.name = "Thin300Wide", .gatewayCount = 300, .servers = 40, .cores = 1, .meanWork = 0.2, .load = 0.8,
-     .seeds = 3},
-    {.name = "Thin300Over", .gatewayCount = 300, .servers = 12, .cores = 2, .meanWork = 0.08, .load = 1.5,
-     .seeds = 3},
-    // Few are warming.
-    {.name = "Few30Thin", .gatewayCount = 30, .servers = 12, .cores = 1, .meanWork = 0.4, .load = 0.9,
-     .replaced = 0.1, .drained = 0.17, .seeds = 16},
-    {.name = "Few300Thin", .gatewayCount = 300, .servers = 12, .cores = 2, .meanWork = 0.08, .load = 0.8,
-     .replaced = 0.1, .drained = 0.17, .seeds = 4},
-    {.name = "Few300ThinOver", .gatewayCount = 300, .servers = 12, .cores = 2, .meanWork = 0.08, .load = 1.2,
-     .replaced = 0.1, .drained = 0.17, .seeds = 4},
-    {.name = "Few300Full", .gatewayCount = 300, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 0.9,
-     .replaced = 0.1, .seeds = 1},
-    {.name = "Large300Thin", .gatewayCount = 300, .servers = 6, .cores = 4, .meanWork = 0.08, .load = 0.8,
-     .replaced = 0.34, .drained = 0.17, .seeds = 3},
-    // All but a few are warming, or all.
-    {.name = "Most20Thin", .gatewayCount = 20, .servers = 12, .cores = 1, .meanWork = 0.5, .load = 0.66,
-     .replaced = 0.84, .drained = 0.08, .restarted = 0.25, .seeds = 12},
-    {.name = "Most30", .gatewayCount = 30, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 0.8,
-     .replaced = 0.9, .restarted = 0.25, .seeds = 1},
-    {.name = "Most300", .gatewayCount = 300, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 0.8,
-     .replaced = 0.9, .restarted = 0.25, .seeds = 1},
-    {.name = "Most300Thin", .gatewayCount = 300, .servers = 12, .cores = 2, .meanWork = 0.08, .load = 0.8,
-     .replaced = 0.84, .drained = 0.08, .restarted = 0.25, .seeds = 3},
-    {.name = "All20Thin", .gatewayCount = 20, .servers = 12, .cores = 1, .meanWork = 0.5, .load = 0.66,
-     .replaced = 1, .restarted = 0.25, .seeds = 12},
-    {.name = "All30", .gatewayCount = 30, .servers = 12, .cores = 4, .meanWork = 0.05, .load = 0.8,
-     .replaced = 1, .restarted = 0.25},
-    {.name = "All300", .gatewayCount = 300, .servers = 12, .cores = 4, .meanWork = 0.05, .load = 0.8,
-     .replaced = 1, .restarted = 0.25},
-    {.name = "All300Thin", .gatewayCount = 300, .servers = 12, .cores = 2, .meanWork = 0.08, .load = 0.8,
-     .replaced = 1, .restarted = 0.25, .seeds = 3},
-    {.name = "All300ThinOver", .gatewayCount = 300, .servers = 12, .cores = 2, .meanWork = 0.08, .load = 1.5,
-     .replaced = 1, .restarted = 0.25, .seeds = 3},
-    // Traffic rises from little to too much when the last one was replaced.
-    {.name = "Surge30", .gatewayCount = 30, .servers = 12, .cores = 4, .meanWork = 0.05, .load = 1.2,
-     .quiet = 0.2},
-    {.name = "Surge300", .gatewayCount = 300, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 1.2,
-     .quiet = 0.2, .seeds = 1},
-    {.name = "Surge300Thin", .gatewayCount = 300, .servers = 12, .cores = 2, .meanWork = 0.08, .load = 1.2,
-     .quiet = 0.1, .seeds = 3},
-    // All requests come through some of the gateways.
-    {.name = "Hot30", .gatewayCount = 30, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 0.8,
-     .hot = 0.34, .seeds = 1},
-    {.name = "Hot300", .gatewayCount = 300, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 0.8,
-     .hot = 0.1, .seeds = 1},
-    // Other settings.
-    {.name = "Other20Busy", .gatewayCount = 20, .servers = 12, .cores = 4, .meanWork = 0.05, .load = 0.8,
-     .otherRules = true},
-    {.name = "Other30Over", .gatewayCount = 30, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 1.5,
-     .seeds = 1, .otherRules = true},
-    {.name = "Other300Busy", .gatewayCount = 300, .servers = 40, .cores = 4, .meanWork = 0.05, .load = 0.8,
-     .seeds = 1, .otherRules = true},
-    {.name = "Other300Thin", .gatewayCount = 300, .servers = 12, .cores = 2, .meanWork = 0.08, .load = 0.8,
-     .seeds = 4, .otherRules = true},
+const FleetScenario kScenarios[] = {
+    // High traffic.
+    {.name = "HighTraffic20HalfLoad", .gatewayCount = 20, .endpointCount = 12, .coresPerEndpoint = 4,
+     .meanWorkSeconds = 0.05, .load = 0.5},
+    {.name = "HighTraffic20BusyLoad", .gatewayCount = 20, .endpointCount = 12, .coresPerEndpoint = 4,
+     .meanWorkSeconds = 0.05, .load = 0.8},
+    {.name = "HighTraffic20Overload", .gatewayCount = 20, .endpointCount = 12, .coresPerEndpoint = 4,
+     .meanWorkSeconds = 0.05, .load = 1.5},
+    {.name = "HighTraffic30FullLoad", .gatewayCount = 30, .endpointCount = 40, .coresPerEndpoint = 4,
+     .meanWorkSeconds = 0.05, .load = 0.95, .seedCount = 1},
+    {.name = "HighTraffic30Overload", .gatewayCount = 30, .endpointCount = 40, .coresPerEndpoint = 4,
+     .meanWorkSeconds = 0.05, .load = 1.5, .seedCount = 1},
+    {.name = "HighTraffic300HalfLoad", .gatewayCount = 300, .endpointCount = 40, .coresPerEndpoint = 4,
+     .meanWorkSeconds = 0.05, .load = 0.5, .seedCount = 1},
+    {.name = "HighTraffic300FullLoad", .gatewayCount = 300, .endpointCount = 40, .coresPerEndpoint = 4,
+     .meanWorkSeconds = 0.05, .load = 0.95, .seedCount = 1},
+    {.name = "HighTraffic300Overload", .gatewayCount = 300, .endpointCount = 40, .coresPerEndpoint = 4,
+     .meanWorkSeconds = 0.05, .load = 1.5, .seedCount = 1},
+    {.name = "ManyEndpoints300BusyLoad", .gatewayCount = 300, .endpointCount = 200, .coresPerEndpoint = 2,
+     .meanWorkSeconds = 0.1, .load = 0.8, .seedCount = 1},
+    // Low traffic: each gateway receives less than one request a second.
+    {.name = "LowTraffic20", .gatewayCount = 20, .endpointCount = 12, .coresPerEndpoint = 1,
+     .meanWorkSeconds = 0.5, .load = 0.66, .seedCount = 12},
+    {.name = "LowTraffic30", .gatewayCount = 30, .endpointCount = 12, .coresPerEndpoint = 1,
+     .meanWorkSeconds = 0.4, .load = 0.8, .seedCount = 12},
+    {.name = "LowTraffic300", .gatewayCount = 300, .endpointCount = 12, .coresPerEndpoint = 2,
+     .meanWorkSeconds = 0.08, .load = 0.8, .seedCount = 3},
+    {.name = "LowTraffic300LowLoad", .gatewayCount = 300, .endpointCount = 12, .coresPerEndpoint = 2,
+     .meanWorkSeconds = 0.08, .load = 0.2, .seedCount = 3},
+    {.name = "LowTraffic300ManyEndpoints", .gatewayCount = 300, .endpointCount = 40, .coresPerEndpoint = 1,
+     .meanWorkSeconds = 0.2, .load = 0.8, .seedCount = 3},
+    {.name = "LowTraffic300Overload", .gatewayCount = 300, .endpointCount = 12, .coresPerEndpoint = 2,
+     .meanWorkSeconds = 0.08, .load = 1.5, .seedCount = 3},
+    // Few endpoints are warming up.
+    {.name = "FewReplaced30LowTraffic", .gatewayCount = 30, .endpointCount = 12, .coresPerEndpoint = 1,
+     .meanWorkSeconds = 0.4, .load = 0.9, .replacedShare = 0.1, .drainedShare = 0.17, .seedCount = 16},
+    {.name = "FewReplaced300LowTraffic", .gatewayCount = 300, .endpointCount = 12, .coresPerEndpoint = 2,
+     .meanWorkSeconds = 0.08, .load = 0.8, .replacedShare = 0.1, .drainedShare = 0.17, .seedCount = 4},
+    {.name = "FewReplaced300LowTrafficOverload", .gatewayCount = 300, .endpointCount = 12,
+     .coresPerEndpoint = 2, .meanWorkSeconds = 0.08, .load = 1.2, .replacedShare = 0.1,
+     .drainedShare = 0.17, .seedCount = 4},
+    {.name = "FewReplaced300FullLoad", .gatewayCount = 300, .endpointCount = 40, .coresPerEndpoint = 4,
+     .meanWorkSeconds = 0.05, .load = 0.9, .replacedShare = 0.1, .seedCount = 1},
+    {.name = "LargeEndpoints300LowTraffic", .gatewayCount = 300, .endpointCount = 6, .coresPerEndpoint = 4,
+     .meanWorkSeconds = 0.08, .load = 0.8, .replacedShare = 0.34, .drainedShare = 0.17, .seedCount = 3},
+    // Most endpoints are warming up, or all of them.
+    {.name = "MostReplaced20LowTraffic", .gatewayCount = 20, .endpointCount = 12, .coresPerEndpoint = 1,
+     .meanWorkSeconds = 0.5, .load = 0.66, .replacedShare = 0.84, .drainedShare = 0.08,
+     .restartedShare = 0.25, .seedCount = 12},
+    {.name = "MostReplaced30", .gatewayCount = 30, .endpointCount = 40, .coresPerEndpoint = 4,
+     .meanWorkSeconds = 0.05, .load = 0.8, .replacedShare = 0.9, .restartedShare = 0.25, .seedCount = 1},
+    {.name = "MostReplaced300", .gatewayCount = 300, .endpointCount = 40, .coresPerEndpoint = 4,
+     .meanWorkSeconds = 0.05, .load = 0.8, .replacedShare = 0.9, .restartedShare = 0.25, .seedCount = 1},
+    {.name = "MostReplaced300LowTraffic", .gatewayCount = 300, .endpointCount = 12, .coresPerEndpoint = 2,
+     .meanWorkSeconds = 0.08, .load = 0.8, .replacedShare = 0.84, .drainedShare = 0.08,
+     .restartedShare = 0.25, .seedCount = 3},
+    {.name = "AllReplaced20LowTraffic", .gatewayCount = 20, .endpointCount = 12, .coresPerEndpoint = 1,
+     .meanWorkSeconds = 0.5, .load = 0.66, .replacedShare = 1, .restartedShare = 0.25, .seedCount = 12},
+    {.name = "AllReplaced30", .gatewayCount = 30, .endpointCount = 12, .coresPerEndpoint = 4,
+     .meanWorkSeconds = 0.05, .load = 0.8, .replacedShare = 1, .restartedShare = 0.25},
+    {.name = "AllReplaced300", .gatewayCount = 300, .endpointCount = 12, .coresPerEndpoint = 4,
+     .meanWorkSeconds = 0.05, .load = 0.8, .replacedShare = 1, .restartedShare = 0.25},
+    {.name = "AllReplaced300LowTraffic", .gatewayCount = 300, .endpointCount = 12, .coresPerEndpoint = 2,
+     .meanWorkSeconds = 0.08, .load = 0.8, .replacedShare = 1, .restartedShare = 0.25, .seedCount = 3},
+    {.name = "AllReplaced300LowTrafficOverload", .gatewayCount = 300, .endpointCount = 12,
+     .coresPerEndpoint = 2, .meanWorkSeconds = 0.08, .load = 1.5, .replacedShare = 1,
+     .restartedShare = 0.25, .seedCount = 3},
+    // The load rises from low to an overload when the last endpoint is replaced.
+    {.name = "LoadSurge30", .gatewayCount = 30, .endpointCount = 12, .coresPerEndpoint = 4,
+     .meanWorkSeconds = 0.05, .load = 1.2, .initialLoadShare = 0.2},
+    {.name = "LoadSurge300", .gatewayCount = 300, .endpointCount = 40, .coresPerEndpoint = 4,
+     .meanWorkSeconds = 0.05, .load = 1.2, .initialLoadShare = 0.2, .seedCount = 1},
+    {.name = "LoadSurge300LowTraffic", .gatewayCount = 300, .endpointCount = 12, .coresPerEndpoint = 2,
+     .meanWorkSeconds = 0.08, .load = 1.2, .initialLoadShare = 0.1, .seedCount = 3},
+    // A few gateways receive all requests.
+    {.name = "FewActiveGateways30", .gatewayCount = 30, .endpointCount = 40, .coresPerEndpoint = 4,
+     .meanWorkSeconds = 0.05, .load = 0.8, .activeShare = 0.34, .seedCount = 1},
+    {.name = "FewActiveGateways300", .gatewayCount = 300, .endpointCount = 40, .coresPerEndpoint = 4,
+     .meanWorkSeconds = 0.05, .load = 0.8, .activeShare = 0.1, .seedCount = 1},
+    // Other settings for slow start.
+    {.name = "OtherSettings20BusyLoad", .gatewayCount = 20, .endpointCount = 12, .coresPerEndpoint = 4,
+     .meanWorkSeconds = 0.05, .load = 0.8, .hasOtherSettings = true},
+    {.name = "OtherSettings30Overload", .gatewayCount = 30, .endpointCount = 40, .coresPerEndpoint = 4,
+     .meanWorkSeconds = 0.05, .load = 1.5, .seedCount = 1, .hasOtherSettings = true},
+    {.name = "OtherSettings300BusyLoad", .gatewayCount = 300, .endpointCount = 40, .coresPerEndpoint = 4,
+     .meanWorkSeconds = 0.05, .load = 0.8, .seedCount = 1, .hasOtherSettings = true},
+    {.name = "OtherSettings300LowTraffic", .gatewayCount = 300, .endpointCount = 12, .coresPerEndpoint = 2,
+     .meanWorkSeconds = 0.08, .load = 0.8, .seedCount = 4, .hasOtherSettings = true},
 };
 // clang-format on
 
-INSTANTIATE_TEST_SUITE_P(All, SlowStartFleet, testing::ValuesIn(kScenarios),
-                         [](const auto& each) { return std::string(each.param.name); });
+INSTANTIATE_TEST_SUITE_P(Scenarios, SlowStartFleetTest, testing::ValuesIn(kScenarios),
+                         [](const auto& row) { return std::string(row.param.name); });
 
 }  // namespace
 }  // namespace gateway
--- /dev/null
+++ b/tests/support/slow_start_fleet_endpoints.cpp
@@ -0,0 +1,129 @@
+// The stand-in endpoints of the simulated fleet, and the measurement of what they receive.
+#include <algorithm>
+#include <cmath>
+
+#include "decision/common/arithmetic.h"
+#include "support/slow_start_fleet.h"
+
+namespace gateway {
+namespace {
+
+constexpr Duration kRefusalTime = std::chrono::milliseconds(1);
+constexpr std::size_t kMaxQueuePerCore = 8;
+
+}  // namespace
+
+double SlowStartFleet::warmCapacity() const {
+    return scenario_.coresPerEndpoint / scenario_.meanWorkSeconds;
+}
+
+double SlowStartFleet::capacityShareAt(const StandInEndpoint& endpoint, TimePoint when) const {
+    if (endpoint.entry.startedAt == TimePoint{}) return 1;
+    const double age = toSeconds(when - endpoint.entry.startedAt) / toSeconds(settings_.slowStartDuration);
+    return settings_.slowStartInitialShare +
+           (1 - settings_.slowStartInitialShare) * std::clamp(age, 0.0, 1.0);
+}
+
+// Work that the endpoint could have served while it was warming up, in requests of mean work.
+double SlowStartFleet::possibleWork(const StandInEndpoint& endpoint) const {
+    const TimePoint startedAt = endpoint.entry.startedAt;
+    const double from = secondsSinceEpoch(startedAt);
+    const double until =
+        secondsSinceEpoch(std::min({now_, endpoint.drainsAt, startedAt + settings_.slowStartDuration}));
+    if (from <= 0 || until <= from) return 0;
+    const TimePoint middle{fromSeconds((from + until) / 2)};
+    return (until - from) * capacityShareAt(endpoint, middle) * warmCapacity();
+}
+
+void SlowStartFleet::receiveAttempt(std::size_t gateway, const SendAttempt& send) {
+    const std::size_t request = std::stoul(send.request.value());
+    const std::size_t endpointIndex = endpointByName_.at(send.endpoint);
+    StandInEndpoint& endpoint = endpoints_[endpointIndex];
+    countWindow(endpoint, requests_[request].work);
+    const std::size_t attempt = attempts_.size();
+    const int number = requests_[request].attempts;
+    ++requests_[request].attempts;
+    attempts_.push_back({gateway, gateways_[gateway].run, request, number, endpointIndex, now_, false});
+    schedule(now_ + send.timeout, [this, attempt] { endAttempt(attempt, Outcome::timedOut); });
+    const auto cores = static_cast<std::size_t>(scenario_.coresPerEndpoint);
+    if (endpoint.entry.availability == Availability::removed)
+        schedule(now_ + kRefusalTime, [this, attempt] { endAttempt(attempt, Outcome::connectFailed); });
+    else if (endpoint.busyCores < scenario_.coresPerEndpoint)
+        beginWork(attempt);
+    else if (endpoint.queue.size() < kMaxQueuePerCore * cores)
+        endpoint.queue.push_back(attempt);
+    else
+        schedule(now_ + kRefusalTime, [this, attempt] { endAttempt(attempt, Outcome::rejected); });
+}
+
+void SlowStartFleet::beginWork(std::size_t attempt) {
+    StandInEndpoint& endpoint = endpoints_[attempts_[attempt].endpoint];
+    ++endpoint.busyCores;
+    const double work = requests_[attempts_[attempt].request].work;
+    const double workSeconds = work * scenario_.meanWorkSeconds / capacityShareAt(endpoint, now_);
+    schedule(now_ + fromSeconds(workSeconds), [this, attempt] { finishWork(attempt); });
+}
+
+void SlowStartFleet::finishWork(std::size_t attempt) {
+    endAttempt(attempt, Outcome::ok);
+    StandInEndpoint& endpoint = endpoints_[attempts_[attempt].endpoint];
+    --endpoint.busyCores;
+    while (!endpoint.queue.empty() && endpoint.busyCores < scenario_.coresPerEndpoint) {
+        const std::size_t next = endpoint.queue.front();
+        endpoint.queue.pop_front();
+        if (!attempts_[next].ended) beginWork(next);
+    }
+}
+
+void SlowStartFleet::endAttempt(std::size_t index, Outcome outcome) {
+    Attempt& attempt = attempts_[index];
+    if (attempt.ended) return;
+    attempt.ended = true;
+    const ClientRequest& request = requests_[attempt.request];
+    if (outcome == Outcome::ok && request.isMeasured) ++tally_.served;
+    if (gateways_[attempt.gateway].run != attempt.gatewayRun) return;  // it has restarted
+    const StandInEndpoint& endpoint = endpoints_[attempt.endpoint];
+    AttemptEnded ended;
+    ended.request = RequestId(std::to_string(attempt.request));
+    ended.attempt = attempt.number;
+    ended.endpoint = endpoint.entry.endpoint;
+    ended.outcome = outcome;
+    ended.elapsed = now_ - attempt.sentAt;
+    ended.closed = outcome == Outcome::ok || now_ >= request.deadline;
+    if (outcome == Outcome::ok || outcome == Outcome::rejected) {
+        ended.report.emplace();
+        ended.report->inFlight = endpoint.busyCores + static_cast<double>(endpoint.queue.size());
+    }
+    feed(attempt.gateway, ended);
+}
+
+// Counts the window that ends at an attempt which an endpoint that is warming up receives.
+void SlowStartFleet::countWindow(StandInEndpoint& endpoint, double work) {
+    const double share = capacityShareAt(endpoint, now_);
+    if (share >= 1) return;
+    if (now_ < endpoint.drainsAt) tally_.receivedWork += work;
+    endpoint.windowAttempts.emplace_back(now_, work);
+    endpoint.windowWork += work;
+    const TimePoint begin = now_ - settings_.overloadWindow;
+    while (endpoint.windowAttempts.front().first <= begin) {
+        endpoint.windowWork -= endpoint.windowAttempts.front().second;
+        endpoint.windowAttempts.pop_front();
+    }
+    const auto allowanceOf = [&](double capacityShare) {
+        return settings_.overloadMultiple * capacityShare * warmCapacity() *
+               toSeconds(settings_.overloadWindow);
+    };
+    const auto boundOf = [](double allowance) { return allowance + 2 * std::sqrt(allowance) + 2; };
+    const double allowance = allowanceOf(share);
+    const double bound = boundOf(allowance);
+    const double initialBound = boundOf(allowanceOf(capacityShareAt(endpoint, begin)));
+    ++tally_.windows;
+    if (endpoint.windowWork > bound) ++tally_.windowsOverBound;
+    if (endpoint.windowWork > initialBound) ++tally_.windowsOverInitialBound;
+    tally_.maxShareOfAllowance = std::max(tally_.maxShareOfAllowance, endpoint.windowWork / allowance);
+    tally_.maxShareOfBound = std::max(tally_.maxShareOfBound, endpoint.windowWork / bound);
+    tally_.maxShareOfInitialBound =
+        std::max(tally_.maxShareOfInitialBound, endpoint.windowWork / initialBound);
+}
+
+}  // namespace gateway
