--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -13,7 +13,8 @@
 
 namespace {
 
-AttemptEnded toEvent(const RequestRegistry::Attempt& attempt, const AttemptResult& result, bool isClosed) {
+AttemptEnded toEvent(const RequestRegistry::EndedAttempt& attempt, const AttemptResult& result,
+                     bool isClosed) {
     AttemptEnded event;
     event.request = attempt.request;
     event.attempt = attempt.number;
@@ -75,7 +76,7 @@
     return {
         [this](AttemptId id, AttemptResult&& result) { handleAttemptEnded(id, std::move(result)); },
         [this](AttemptId id) {
-            if (const auto request = requests_.requestOf(id)) disconnectIfClientClosed(*request);
+            if (const auto request = requests_.requestOf(id)) disconnectIfClosed(requests_.client(*request));
         },
         [this](AttemptId id) {
             const auto request = requests_.requestOf(id);
@@ -168,32 +169,30 @@
 }
 
 void GatewayServer::handleAttemptEnded(AttemptId id, AttemptResult&& result) {
-    const std::optional<RequestRegistry::Attempt> attempt = requests_.endAttempt(id);
+    const std::optional<RequestRegistry::EndedAttempt> attempt = requests_.endAttempt(id);
     if (!attempt) return;
     // The first complete response goes to the client at once. Later ones are dropped, as are those for a
     // client that was answered or has disconnected.
-    const bool isClientWaiting = hasWaitingClient(attempt->request);
-    const bool isServed = result.outcome == Outcome::ok && isClientWaiting;
+    const bool isServed = result.outcome == Outcome::ok && attempt->isClientWaiting;
     if (isServed)
         answer(attempt->request,
                {static_cast<int>(http::status::ok), Duration::zero(), result.contentType, result.body});
     else
         requests_.removeIfComplete(attempt->request);
-    dispatcher_.dispatch(toEvent(*attempt, result, isServed || !isClientWaiting));
+    dispatcher_.dispatch(toEvent(*attempt, result, isServed || !attempt->isClientWaiting));
 }
 
 // ---- Actions --------------------------------------------------------------------------------------
 
 void GatewayServer::execute(const SendAttempt& action) {
-    const AttemptId id = requests_.startAttempt(action.request, action.endpoint);
-    if (id == AttemptId::none) return;
-    disconnectIfClientClosed(action.request);
+    const auto attempt = requests_.startAttempt(action.request, action.endpoint);
+    if (!attempt) return;
+    disconnectIfClosed(attempt->client);
     if (!hasWaitingClient(action.request)) {
-        handleAttemptEnded(id, notSentResult());
+        handleAttemptEnded(attempt->id, notSentResult());
         return;
     }
-    upstreams_.start(id, action.endpoint, {action.timeout, action.beginWithin},
-                     requests_.forwarded(action.request));
+    upstreams_.start(attempt->id, action.endpoint, {action.timeout, action.beginWithin}, attempt->forwarded);
 }
 
 void GatewayServer::execute(const CancelAttempt& action) {
@@ -225,8 +224,8 @@
 
 // Called before bytes of a request are sent. The client may have closed its connection without that having
 // been read: its end is found behind its request, or after other work that kept this gateway busy.
-void GatewayServer::disconnectIfClientClosed(const RequestId& id) {
-    if (const auto client = requests_.client(id)) ClientServer::hasDisconnected(*client);
+void GatewayServer::disconnectIfClosed(const std::shared_ptr<ClientSession>& client) {
+    if (client) ClientServer::hasDisconnected(*client);
 }
 
 void GatewayServer::answer(const RequestId& id, const ClientResponse& response) {
--- a/src/net/server/gateway_server.h
+++ b/src/net/server/gateway_server.h
@@ -72,7 +72,7 @@
     void execute(const SetTimer& action);
     void execute(const WatchEndpoints&) {}  // discovery is watched from start() on
 
-    void disconnectIfClientClosed(const RequestId& id);
+    static void disconnectIfClosed(const std::shared_ptr<ClientSession>& client);
     bool hasWaitingClient(const RequestId& id) const { return requests_.client(id) != nullptr; }
     void answer(const RequestId& id, const ClientResponse& response);
     bool reclaimDescriptor();
--- a/src/net/server/readiness.h
+++ b/src/net/server/readiness.h
@@ -23,8 +23,8 @@
     // Records an endpoint list. A list of discovery's, unlike a cached one, is the update that is awaited.
     void noteEndpointList(UpdateKind kind, bool isEmpty);
 
-    // Starts the time limits. Precondition: the configured list has been noted. `awaitsInitialUpdate`: false
-    // where discovery is polled, since a poll may take longer than the wait.
+    // Starts the time limits. Precondition: the configured list has been noted. `awaitsInitialUpdate`:
+    // whether discovery pushes its list unasked.
     void start(bool awaitsInitialUpdate);
 
     bool isReady() const { return hasUsableList_ && isListCurrent_; }
--- a/src/net/server/request_registry.cpp
+++ b/src/net/server/request_registry.cpp
@@ -24,30 +24,28 @@
     return std::exchange(found->second.client, nullptr);
 }
 
-std::shared_ptr<const ForwardedRequest> RequestRegistry::forwarded(const RequestId& id) const {
+std::optional<RequestRegistry::StartedAttempt> RequestRegistry::startAttempt(const RequestId& id,
+                                                                             const EndpointId& endpoint) {
     const auto found = requests_.find(id);
-    return found == requests_.end() ? nullptr : found->second.forwarded;
-}
-
-AttemptId RequestRegistry::startAttempt(const RequestId& id, const EndpointId& endpoint) {
-    const auto found = requests_.find(id);
-    if (found == requests_.end()) return AttemptId::none;
+    if (found == requests_.end()) return std::nullopt;
     Request& request = found->second;
     ++lastAttemptNumber_;
     const AttemptId attempt{lastAttemptNumber_};
     attempts_[attempt] = {id, endpoint, static_cast<int>(request.attempts.size())};
     request.attempts.push_back(attempt);
     ++request.attemptsInFlight;
-    return attempt;
+    return StartedAttempt{attempt, request.forwarded, request.client};
 }
 
-std::optional<RequestRegistry::Attempt> RequestRegistry::endAttempt(AttemptId id) {
+std::optional<RequestRegistry::EndedAttempt> RequestRegistry::endAttempt(AttemptId id) {
     const auto found = attempts_.find(id);
     if (found == attempts_.end()) return std::nullopt;
     Attempt attempt = std::move(found->second);
     attempts_.erase(found);
-    --requests_.at(attempt.request).attemptsInFlight;
-    return attempt;
+    Request& request = requests_.at(attempt.request);
+    --request.attemptsInFlight;
+    return EndedAttempt{std::move(attempt.request), std::move(attempt.endpoint), attempt.number,
+                        request.client != nullptr};
 }
 
 std::optional<RequestId> RequestRegistry::requestOf(AttemptId id) const {
--- a/src/net/server/request_registry.h
+++ b/src/net/server/request_registry.h
@@ -21,11 +21,19 @@
 // id can't be used by another request until then.
 class RequestRegistry {
 public:
-    // An attempt in flight.
-    struct Attempt {
+    // What starting an attempt takes.
+    struct StartedAttempt {
+        AttemptId id = AttemptId::none;
+        std::shared_ptr<const ForwardedRequest> forwarded;
+        std::shared_ptr<ClientSession> client;  // null if no client waits for the response
+    };
+
+    // What is known of an attempt at its end.
+    struct EndedAttempt {
         RequestId request;
         EndpointId endpoint;
         int number = 0;  // position among the attempts of the request, from 0
+        bool isClientWaiting = false;
     };
 
     // Registers a request with the client that waits for its response. `client` must not be null. Returns
@@ -41,15 +49,12 @@
     // request stays registered: call removeIfComplete() once the client has been served.
     std::shared_ptr<ClientSession> releaseClient(const RequestId& id);
 
-    // Returns what endpoints receive of the request. Null if the request is not registered.
-    std::shared_ptr<const ForwardedRequest> forwarded(const RequestId& id) const;
-
-    // Starts the next attempt of a request. Returns AttemptId::none if the request is not registered.
-    AttemptId startAttempt(const RequestId& id, const EndpointId& endpoint);
+    // Starts the next attempt of a request. Returns nothing if the request is not registered.
+    std::optional<StartedAttempt> startAttempt(const RequestId& id, const EndpointId& endpoint);
 
-    // Ends an attempt and returns what was known of it. Returns nothing if the attempt is not in flight. The
-    // request stays registered: call removeIfComplete() once the result has been used.
-    std::optional<Attempt> endAttempt(AttemptId id);
+    // Ends an attempt. Returns nothing if the attempt is not in flight. The request stays registered: call
+    // removeIfComplete() once the result has been used.
+    std::optional<EndedAttempt> endAttempt(AttemptId id);
 
     // Returns the request that an attempt in flight belongs to. Returns nothing for any other attempt.
     std::optional<RequestId> requestOf(AttemptId id) const;
@@ -65,6 +70,11 @@
     void removeIfComplete(const RequestId& id);
 
 private:
+    struct Attempt {
+        RequestId request;
+        EndpointId endpoint;
+        int number = 0;
+    };
     struct Request {
         std::shared_ptr<const ForwardedRequest> forwarded;
         std::shared_ptr<ClientSession> client;  // null once the client has stopped waiting
--- a/src/net/upstream/attempt_runner.cpp
+++ b/src/net/upstream/attempt_runner.cpp
@@ -28,7 +28,7 @@
         return;
     }
     attempt.timeoutTimer = timers_.after(options.timeout, [this, id] { expire(id); });
-    attempt.connection = idle_.take(attempt.endpoint->id());
+    attempt.connection = idle_.take(*attempt.endpoint);
     if (attempt.connection) {
         attempt.connection->assign(id);
         send(attempt);
@@ -94,7 +94,7 @@
     const SteadyTimePoint now = steady_clock::now();
     attempt.endpoint->noteResponse(now);
     if (isReusable && !attempt.endpoint->isDraining())
-        idle_.add(attempt.endpoint->id(), attempt.connection, now);
+        idle_.add(*attempt.endpoint, attempt.connection, now);
     else
         attempt.connection->close();
     finish(id, std::move(result));
@@ -125,11 +125,9 @@
     attempt.connection->close();
     // A machine that was cut off sends nothing, and its connections stay open. If no response came from the
     // endpoint during the attempt, its idle connections are closed as well: the next attempt then connects,
-    // which shows whether the endpoint is reachable. A draining endpoint has no idle connections, and an
-    // endpoint that was listed again under its name keeps those that are its own.
+    // which shows whether the endpoint is reachable.
     const UpstreamEndpoint& endpoint = *attempt.endpoint;
-    if (!endpoint.isDraining() && endpoint.lastResponseAt() < attempt.startedAt)
-        idle_.closeAll(endpoint.id());
+    if (endpoint.lastResponseAt() < attempt.startedAt) idle_.closeAll(endpoint);
     finish(id, attempt.connection->isRequestWritten() ? Outcome::timedOut : Outcome::connectFailed);
 }
 
--- a/src/net/upstream/idle_connection_pool.cpp
+++ b/src/net/upstream/idle_connection_pool.cpp
@@ -20,14 +20,14 @@
       limits_(limits),
       maxIdleTime_(std::chrono::duration_cast<Duration>(limits.keepAlive * kMaxIdleFraction)) {}
 
-void IdleConnectionPool::add(const EndpointId& endpoint, ConnectionPtr connection,
+void IdleConnectionPool::add(const UpstreamEndpoint& endpoint, ConnectionPtr connection,
                              SteadyTimePoint idleSince) {
-    connections_[endpoint].push_back({std::move(connection), idleSince});
+    connections_[&endpoint].push_back({std::move(connection), idleSince});
     scheduleCloseExpired();
 }
 
-IdleConnectionPool::ConnectionPtr IdleConnectionPool::take(const EndpointId& endpoint) {
-    const auto found = connections_.find(endpoint);
+IdleConnectionPool::ConnectionPtr IdleConnectionPool::take(const UpstreamEndpoint& endpoint) {
+    const auto found = connections_.find(&endpoint);
     if (found == connections_.end()) return nullptr;
     IdleConnections& candidates = found->second;
     const SteadyTimePoint now = steady_clock::now();
@@ -51,8 +51,8 @@
         std::erase_if(candidates, [&](const IdleConnection& idle) { return idle.connection == connection; });
 }
 
-void IdleConnectionPool::closeAll(const EndpointId& endpoint) {
-    const auto found = connections_.find(endpoint);
+void IdleConnectionPool::closeAll(const UpstreamEndpoint& endpoint) {
+    const auto found = connections_.find(&endpoint);
     if (found == connections_.end()) return;
     for (const IdleConnection& idle : found->second) idle.connection->close();
     connections_.erase(found);
--- a/src/net/upstream/idle_connection_pool.h
+++ b/src/net/upstream/idle_connection_pool.h
@@ -9,6 +9,7 @@
 #include "net/transport/clock.h"
 #include "net/transport/timer_queue.h"
 #include "net/upstream/upstream_connection.h"
+#include "net/upstream/upstream_endpoint.h"
 
 namespace gateway::net {
 
@@ -27,18 +28,21 @@
     // `timers` must outlive the pool, and the pool the timers' last run.
     IdleConnectionPool(TimerQueue& timers, const Limits& limits);
 
+    // An endpoint is identified by its object. Precondition of its destruction: none of its connections is in
+    // the pool, as after closeAll().
+
     // Adds a connection that became idle at `idleSince`. Precondition: connections to one endpoint are added
     // in the order of `idleSince`.
-    void add(const EndpointId& endpoint, ConnectionPtr connection, SteadyTimePoint idleSince);
+    void add(const UpstreamEndpoint& endpoint, ConnectionPtr connection, SteadyTimePoint idleSince);
 
     // Removes and returns the most recently used connection that can carry a request now, or null if there is
     // none. Closes the connections that it finds unusable.
-    ConnectionPtr take(const EndpointId& endpoint);
+    ConnectionPtr take(const UpstreamEndpoint& endpoint);
 
     // Closes the connection, and removes it if it is in the pool.
     void close(const ConnectionPtr& connection);
 
-    void closeAll(const EndpointId& endpoint);
+    void closeAll(const UpstreamEndpoint& endpoint);
 
     // Closes the connection that has been idle longest, over all endpoints. Returns false if there is none.
     bool evictOldest();
@@ -57,7 +61,7 @@
     TimerQueue& timers_;
     Limits limits_;
     Duration maxIdleTime_;
-    std::unordered_map<EndpointId, IdleConnections> connections_;
+    std::unordered_map<const UpstreamEndpoint*, IdleConnections> connections_;
     bool isCloseScheduled_ = false;
 };
 
--- a/src/net/upstream/upstream_endpoint_table.cpp
+++ b/src/net/upstream/upstream_endpoint_table.cpp
@@ -38,7 +38,7 @@
     std::shared_ptr<UpstreamEndpoint>& endpoint = endpoints_[entry.endpoint];
     if (!endpoint) endpoint = std::make_shared<UpstreamEndpoint>(entry.endpoint);
     // A process that was restarted knows nothing of its predecessor's connections.
-    if (endpoint->isReplacedBy(listed)) closeIdleConnections_(entry.endpoint);
+    if (endpoint->isReplacedBy(listed)) closeIdleConnections_(*endpoint);
     if (entry.availability == Availability::up)
         endpoint->stopDraining();
     else
@@ -56,7 +56,7 @@
 
 void UpstreamEndpointTable::startDraining(UpstreamEndpoint& endpoint) {
     endpoint.startDraining(std::chrono::steady_clock::now());
-    closeIdleConnections_(endpoint.id());
+    closeIdleConnections_(endpoint);
 }
 
 }  // namespace gateway::net
--- a/src/net/upstream/upstream_endpoint_table.h
+++ b/src/net/upstream/upstream_endpoint_table.h
@@ -14,7 +14,7 @@
 // draining, was removed, or is another process than before.
 class UpstreamEndpointTable {
 public:
-    using CloseIdleConnections = std::function<void(const EndpointId&)>;
+    using CloseIdleConnections = std::function<void(const UpstreamEndpoint&)>;
 
     explicit UpstreamEndpointTable(CloseIdleConnections closeIdleConnections);
 
--- a/src/net/upstream/upstream_pool.cpp
+++ b/src/net/upstream/upstream_pool.cpp
@@ -18,7 +18,7 @@
 UpstreamPool::UpstreamPool(boost::asio::io_context& ioContext, TimerQueue& timers, const Limits& limits,
                            Hooks hooks)
     : idle_(timers, idleLimits(limits)),
-      endpoints_([this](const EndpointId& endpoint) { idle_.closeAll(endpoint); }),
+      endpoints_([this](const UpstreamEndpoint& endpoint) { idle_.closeAll(endpoint); }),
       attempts_(ioContext, timers, idle_, attemptLimits(limits), std::move(hooks)) {}
 
 void UpstreamPool::update(const EndpointList& list) {
--- a/tests/net/server/request_registry_test.cpp
+++ b/tests/net/server/request_registry_test.cpp
@@ -22,6 +22,11 @@
 
     bool addRequest() { return registry_.add(kRequest, makeForwarded(), client_); }
 
+    AttemptId startAttempt(const EndpointId& endpoint) {
+        const auto attempt = registry_.startAttempt(kRequest, endpoint);
+        return attempt ? attempt->id : AttemptId::none;
+    }
+
     const RequestId kRequest{"request"};
     const EndpointId kEndpoint{"endpoint"};
     std::shared_ptr<ClientSession> client_ = makeClient();
@@ -32,14 +37,16 @@
     const auto forwarded = makeForwarded();
     ASSERT_TRUE(registry_.add(kRequest, forwarded, client_));
     EXPECT_EQ(registry_.client(kRequest), client_);
-    EXPECT_EQ(registry_.forwarded(kRequest), forwarded);
+    const auto attempt = registry_.startAttempt(kRequest, kEndpoint);
+    ASSERT_TRUE(attempt);
+    EXPECT_EQ(attempt->forwarded, forwarded);
+    EXPECT_EQ(attempt->client, client_);
 }
 
 TEST_F(RequestRegistryTest, KnowsNothingOfUnregisteredRequest) {
     EXPECT_EQ(registry_.client(kRequest), nullptr);
     EXPECT_EQ(registry_.releaseClient(kRequest), nullptr);
-    EXPECT_EQ(registry_.forwarded(kRequest), nullptr);
-    EXPECT_EQ(registry_.startAttempt(kRequest, kEndpoint), AttemptId::none);
+    EXPECT_FALSE(registry_.startAttempt(kRequest, kEndpoint));
     EXPECT_EQ(registry_.attempt(kRequest, 0), AttemptId::none);
     EXPECT_TRUE(registry_.attempts(kRequest).empty());
     registry_.removeIfComplete(kRequest);
@@ -60,8 +67,8 @@
 
 TEST_F(RequestRegistryTest, NumbersAttemptsOfRequestFromZero) {
     ASSERT_TRUE(addRequest());
-    const AttemptId first = registry_.startAttempt(kRequest, kEndpoint);
-    const AttemptId second = registry_.startAttempt(kRequest, EndpointId{"other"});
+    const AttemptId first = startAttempt(kEndpoint);
+    const AttemptId second = startAttempt(EndpointId{"other"});
     EXPECT_NE(first, second);
     EXPECT_EQ(registry_.attempt(kRequest, 0), first);
     EXPECT_EQ(registry_.attempt(kRequest, 1), second);
@@ -76,16 +83,26 @@
 
 TEST_F(RequestRegistryTest, KeepsNumbersOfEndedAttempts) {
     ASSERT_TRUE(addRequest());
-    const AttemptId first = registry_.startAttempt(kRequest, kEndpoint);
+    const AttemptId first = startAttempt(kEndpoint);
     ASSERT_TRUE(registry_.endAttempt(first));
-    const AttemptId second = registry_.startAttempt(kRequest, kEndpoint);
+    const AttemptId second = startAttempt(kEndpoint);
     EXPECT_EQ(registry_.attempt(kRequest, 0), first);
     EXPECT_EQ(registry_.attempt(kRequest, 1), second);
 }
 
+TEST_F(RequestRegistryTest, ReportsAtEndOfAttemptWhetherClientWaits) {
+    ASSERT_TRUE(addRequest());
+    const AttemptId first = startAttempt(kEndpoint);
+    const AttemptId second = startAttempt(kEndpoint);
+    EXPECT_TRUE(registry_.endAttempt(first)->isClientWaiting);
+    registry_.releaseClient(kRequest);
+    EXPECT_FALSE(registry_.startAttempt(kRequest, kEndpoint)->client);
+    EXPECT_FALSE(registry_.endAttempt(second)->isClientWaiting);
+}
+
 TEST_F(RequestRegistryTest, EndsAttemptOnce) {
     ASSERT_TRUE(addRequest());
-    const AttemptId attempt = registry_.startAttempt(kRequest, kEndpoint);
+    const AttemptId attempt = startAttempt(kEndpoint);
     EXPECT_EQ(registry_.requestOf(attempt), kRequest);
     EXPECT_TRUE(registry_.endAttempt(attempt));
     EXPECT_EQ(registry_.requestOf(attempt), std::nullopt);
@@ -100,8 +117,8 @@
 
 TEST_F(RequestRegistryTest, KeepsRequestWhileAttemptIsInFlight) {
     ASSERT_TRUE(addRequest());
-    const AttemptId first = registry_.startAttempt(kRequest, kEndpoint);
-    const AttemptId second = registry_.startAttempt(kRequest, kEndpoint);
+    const AttemptId first = startAttempt(kEndpoint);
+    const AttemptId second = startAttempt(kEndpoint);
     registry_.releaseClient(kRequest);
     registry_.endAttempt(first);
     registry_.removeIfComplete(kRequest);
@@ -115,7 +132,7 @@
     ASSERT_TRUE(addRequest());
     registry_.releaseClient(kRequest);
     registry_.removeIfComplete(kRequest);
-    EXPECT_EQ(registry_.forwarded(kRequest), nullptr);
+    EXPECT_FALSE(registry_.startAttempt(kRequest, kEndpoint));
     EXPECT_TRUE(addRequest());
 }
 
--- a/tests/net/upstream/attempt_runner_test.cpp
+++ b/tests/net/upstream/attempt_runner_test.cpp
@@ -278,7 +278,7 @@
     respond(peer);
     write(peer, kResponse);
     EXPECT_TRUE(isClosedWithoutBytes(peer));
-    EXPECT_EQ(idle_.take(endpoint_->id()), nullptr);
+    EXPECT_EQ(idle_.take(*endpoint_), nullptr);
 }
 
 TEST_F(AttemptRunnerTest, ClosesIdleConnectionsWhenNoResponseComesDuringTimedOutAttempt) {
--- a/tests/net/upstream/idle_connection_pool_test.cpp
+++ b/tests/net/upstream/idle_connection_pool_test.cpp
@@ -47,14 +47,14 @@
         return connection;
     }
 
-    ConnectionPtr addIdleFor(Duration idleTime, const EndpointId& endpoint) {
+    ConnectionPtr addIdleFor(Duration idleTime, const UpstreamEndpoint& endpoint) {
         ConnectionPtr connection = connect();
         pool_->add(endpoint, connection, std::chrono::steady_clock::now() - idleTime);
         return connection;
     }
 
-    const EndpointId kEndpoint{"a"};
-    const EndpointId kOtherEndpoint{"b"};
+    const UpstreamEndpoint endpoint_{EndpointId{"a"}};
+    const UpstreamEndpoint otherEndpoint_{EndpointId{"b"}};
     Observer observer_;
     std::shared_ptr<std::size_t> openConnections_ = std::make_shared<std::size_t>(0);
     std::optional<IdleConnectionPool> pool_;
@@ -63,61 +63,61 @@
 
 TEST_F(IdleConnectionPoolTest, ReturnsNothingForEndpointWithoutConnections) {
     makePool(kKeepAlive, Duration::zero());
-    addIdleFor(kCooldown, kOtherEndpoint);
-    EXPECT_EQ(pool_->take(kEndpoint), nullptr);
+    addIdleFor(kCooldown, otherEndpoint_);
+    EXPECT_EQ(pool_->take(endpoint_), nullptr);
 }
 
 TEST_F(IdleConnectionPoolTest, TakesMostRecentlyUsedConnectionFirstAndEachOnce) {
     makePool(kKeepAlive, Duration::zero());
-    const ConnectionPtr older = addIdleFor(seconds(3), kEndpoint);
-    const ConnectionPtr newer = addIdleFor(seconds(2), kEndpoint);
-    EXPECT_EQ(pool_->take(kEndpoint), newer);
-    EXPECT_EQ(pool_->take(kEndpoint), older);
-    EXPECT_EQ(pool_->take(kEndpoint), nullptr);
+    const ConnectionPtr older = addIdleFor(seconds(3), endpoint_);
+    const ConnectionPtr newer = addIdleFor(seconds(2), endpoint_);
+    EXPECT_EQ(pool_->take(endpoint_), newer);
+    EXPECT_EQ(pool_->take(endpoint_), older);
+    EXPECT_EQ(pool_->take(endpoint_), nullptr);
     EXPECT_TRUE(newer->isOpen());
     EXPECT_TRUE(older->isOpen());
 }
 
 TEST_F(IdleConnectionPoolTest, PassesOverConnectionInCooldown) {
     makePool(kKeepAlive, seconds(10));
-    const ConnectionPtr ready = addIdleFor(seconds(15), kEndpoint);
-    const ConnectionPtr coolingDown = addIdleFor(Duration::zero(), kEndpoint);
-    EXPECT_EQ(pool_->take(kEndpoint), ready);
-    EXPECT_EQ(pool_->take(kEndpoint), nullptr);
+    const ConnectionPtr ready = addIdleFor(seconds(15), endpoint_);
+    const ConnectionPtr coolingDown = addIdleFor(Duration::zero(), endpoint_);
+    EXPECT_EQ(pool_->take(endpoint_), ready);
+    EXPECT_EQ(pool_->take(endpoint_), nullptr);
     EXPECT_TRUE(coolingDown->isOpen());
 }
 
 TEST_F(IdleConnectionPoolTest, ClosesConnectionOnWhichBytesCame) {
     makePool(kKeepAlive, Duration::zero());
-    const ConnectionPtr connection = addIdleFor(kCooldown, kEndpoint);
+    const ConnectionPtr connection = addIdleFor(kCooldown, endpoint_);
     write(peers_[0], "x");
     while (!connection->hasInput()) {
     }
-    EXPECT_EQ(pool_->take(kEndpoint), nullptr);
+    EXPECT_EQ(pool_->take(endpoint_), nullptr);
     EXPECT_FALSE(connection->isOpen());
 }
 
 TEST_F(IdleConnectionPoolTest, ClosesConnectionThatItsEndpointClosed) {
     makePool(kKeepAlive, Duration::zero());
-    const ConnectionPtr usable = addIdleFor(seconds(2), kEndpoint);
-    const ConnectionPtr closed = addIdleFor(kCooldown, kEndpoint);
+    const ConnectionPtr usable = addIdleFor(seconds(2), endpoint_);
+    const ConnectionPtr closed = addIdleFor(kCooldown, endpoint_);
     peers_[1].close();
     while (!closed->peerHasClosed()) {
     }
-    EXPECT_EQ(pool_->take(kEndpoint), usable);
+    EXPECT_EQ(pool_->take(endpoint_), usable);
     EXPECT_FALSE(closed->isOpen());
 }
 
 TEST_F(IdleConnectionPoolTest, DoesNotTakeConnectionPastHalfOfKeepAlive) {
     makePool(kKeepAlive, Duration::zero());
-    const ConnectionPtr connection = addIdleFor(kKeepAlive / 2, kEndpoint);
-    EXPECT_EQ(pool_->take(kEndpoint), nullptr);
+    const ConnectionPtr connection = addIdleFor(kKeepAlive / 2, endpoint_);
+    EXPECT_EQ(pool_->take(endpoint_), nullptr);
     EXPECT_FALSE(connection->isOpen());
 }
 
 TEST_F(IdleConnectionPoolTest, ClosesConnectionsPastHalfOfKeepAliveByItself) {
     makePool(milliseconds(400), Duration::zero());
-    const ConnectionPtr connection = addIdleFor(Duration::zero(), kEndpoint);
+    const ConnectionPtr connection = addIdleFor(Duration::zero(), endpoint_);
     const SteadyTimePoint addedAt = std::chrono::steady_clock::now();
     runUntil([&] { return !connection->isOpen(); });
     EXPECT_GE(std::chrono::steady_clock::now() - addedAt, milliseconds(190));
@@ -125,35 +125,35 @@
 
 TEST_F(IdleConnectionPoolTest, EvictsConnectionThatHasBeenIdleLongestOverAllEndpoints) {
     makePool(kKeepAlive, Duration::zero());
-    const ConnectionPtr second = addIdleFor(seconds(4), kEndpoint);
-    const ConnectionPtr third = addIdleFor(seconds(3), kEndpoint);
-    const ConnectionPtr first = addIdleFor(seconds(5), kOtherEndpoint);
+    const ConnectionPtr second = addIdleFor(seconds(4), endpoint_);
+    const ConnectionPtr third = addIdleFor(seconds(3), endpoint_);
+    const ConnectionPtr first = addIdleFor(seconds(5), otherEndpoint_);
     EXPECT_TRUE(pool_->evictOldest());
     EXPECT_FALSE(first->isOpen());
     EXPECT_TRUE(pool_->evictOldest());
     EXPECT_FALSE(second->isOpen());
     EXPECT_TRUE(third->isOpen());
-    EXPECT_EQ(pool_->take(kEndpoint), third);
+    EXPECT_EQ(pool_->take(endpoint_), third);
     EXPECT_FALSE(pool_->evictOldest());
 }
 
 TEST_F(IdleConnectionPoolTest, ClosesAllConnectionsOfOneEndpoint) {
     makePool(kKeepAlive, Duration::zero());
-    const ConnectionPtr closed = addIdleFor(kCooldown, kEndpoint);
-    const ConnectionPtr kept = addIdleFor(kCooldown, kOtherEndpoint);
-    pool_->closeAll(kEndpoint);
+    const ConnectionPtr closed = addIdleFor(kCooldown, endpoint_);
+    const ConnectionPtr kept = addIdleFor(kCooldown, otherEndpoint_);
+    pool_->closeAll(endpoint_);
     EXPECT_FALSE(closed->isOpen());
-    EXPECT_EQ(pool_->take(kEndpoint), nullptr);
-    EXPECT_EQ(pool_->take(kOtherEndpoint), kept);
+    EXPECT_EQ(pool_->take(endpoint_), nullptr);
+    EXPECT_EQ(pool_->take(otherEndpoint_), kept);
 }
 
 TEST_F(IdleConnectionPoolTest, RemovesConnectionThatItCloses) {
     makePool(kKeepAlive, Duration::zero());
-    const ConnectionPtr kept = addIdleFor(seconds(2), kEndpoint);
-    const ConnectionPtr closed = addIdleFor(kCooldown, kEndpoint);
+    const ConnectionPtr kept = addIdleFor(seconds(2), endpoint_);
+    const ConnectionPtr closed = addIdleFor(kCooldown, endpoint_);
     pool_->close(closed);
     EXPECT_FALSE(closed->isOpen());
-    EXPECT_EQ(pool_->take(kEndpoint), kept);
+    EXPECT_EQ(pool_->take(endpoint_), kept);
 }
 
 TEST_F(IdleConnectionPoolTest, ConnectionCountsAsOpenWhileItLives) {
--- a/tests/net/upstream/upstream_endpoint_table_test.cpp
+++ b/tests/net/upstream/upstream_endpoint_table_test.cpp
@@ -36,7 +36,8 @@
     }
 
     std::vector<std::string> closedIdle_;  // endpoints whose idle connections were to be closed
-    UpstreamEndpointTable table_{[this](const EndpointId& id) { closedIdle_.push_back(id.value()); }};
+    UpstreamEndpointTable table_{
+        [this](const UpstreamEndpoint& endpoint) { closedIdle_.push_back(endpoint.id().value()); }};
 };
 
 TEST_F(UpstreamEndpointTableTest, FindsListedEndpointsOnly) {
