--- a/src/net/upstream/idle_connection_pool.cpp
+++ b/src/net/upstream/idle_connection_pool.cpp
@@ -32,8 +32,9 @@
     IdleConnections& candidates = found->second;
     const SteadyTimePoint now = steady_clock::now();
     // Connections in their cool-down are the most recently used, at the back.
+    const SteadyTimePoint cooldownStart = now - limits_.reuseDelay;
     auto end = candidates.end();
-    while (end != candidates.begin() && now - std::prev(end)->idleSince < limits_.reuseDelay) --end;
+    while (end != candidates.begin() && std::prev(end)->idleSince > cooldownStart) --end;
     while (end != candidates.begin()) {
         --end;
         const IdleConnection idle = std::move(*end);
