--- a/src/net/config/config.h
+++ b/src/net/config/config.h
@@ -1,8 +1,9 @@
-// The configuration of a gateway process: EDGE_CONFIG, with EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY
-// over it.
+// The configuration of a gateway process: the file that EDGE_CONFIG names, and the environment variables
+// EDGE_NAME, EDGE_LISTEN and EDGE_DISCOVERY, which override it.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
+#include <cstddef>
 #include <cstdint>
 #include <optional>
 #include <string>
@@ -13,22 +14,31 @@
 
 namespace gateway::net {
 
-// How long the process waits for what. The defaults serve; tests use others.
+// Time limits of the process. The file does not set them; tests use other values than the defaults.
 struct Timing {
-    // After SIGTERM new connections go on coming for this long at least.
-    Duration listenAfterShutdown = std::chrono::milliseconds(500);
-    Duration idleGracePeriod = std::chrono::milliseconds(250);  // connections without a request then
-    // A new process waits so long for the list that its agent has, which counts as known, before it is ready
-    // on the one it was given. Longer would be no use: the agent says nothing while discovery is down.
-    Duration initialUpdateWait = std::chrono::milliseconds(500);
-    // One that was given an empty list is ready after so long without another: soon what discovery has counts
-    // as known, and a process that never is ready is taken for one that failed.
-    Duration emptyListWait = std::chrono::seconds(5);
-    // A connection to an endpoint carries no next request for so long after a response: a second one that
-    // comes some milliseconds late would be taken for that request's. Seen on played days: up to 4 ms.
-    Duration reuseDelay = std::chrono::milliseconds(10);
-    // A connection whose first request has not begun, or on which one has not come whole, by then is ended.
-    Duration maxPartialTime = std::chrono::seconds(2);
+    static constexpr Duration kListenAfterShutdown = std::chrono::milliseconds(500);
+    static constexpr Duration kIdleGracePeriod = std::chrono::milliseconds(250);
+    static constexpr Duration kInitialUpdateWait = std::chrono::milliseconds(500);
+    static constexpr Duration kEmptyListWait = std::chrono::seconds(5);
+    static constexpr Duration kReuseDelay = std::chrono::milliseconds(10);
+    static constexpr Duration kMaxPartialTime = std::chrono::seconds(2);
+
+    // From SIGTERM until the listener closes. Clients keep connecting until they notice the shutdown.
+    Duration listenAfterShutdown = kListenAfterShutdown;
+    // From SIGTERM until connections without a request are closed.
+    Duration idleGracePeriod = kIdleGracePeriod;
+    // With DiscoveryMode::push: how long a new process waits for the list of its agent, which counts as
+    // known, before it is ready with the list of its configuration. The agent sends nothing while discovery
+    // is down.
+    Duration initialUpdateWait = kInitialUpdateWait;
+    // How long a process with an empty list waits for another before it is ready: a process that is never
+    // ready counts as failed.
+    Duration emptyListWait = kEmptyListWait;
+    // Cool-down of a connection to an endpoint between a response and the next request: a second response
+    // that comes late would be taken for that request's.
+    Duration reuseDelay = kReuseDelay;
+    // For a client to start the first request on a connection, and to send a request completely.
+    Duration maxPartialTime = kMaxPartialTime;
 };
 
 struct Config {
@@ -37,26 +47,27 @@
     std::string name;
     Address listen;
     Address discovery;
-    std::optional<Address> counter;
-    std::uint64_t seed = 0;      // for random numbers
-    std::size_t sockets = 1024;  // descriptors that the process may hold
+    std::optional<Address> counter;  // set if Settings::counterEnabled
+    std::uint64_t seed = 0;          // of random numbers
+    std::size_t sockets = 1024;      // descriptors that the process may hold
     Settings settings;
     std::vector<std::string> classNames;  // in the order of Settings::classes
     std::vector<std::string> planNames;   // in the order of Settings::plans
     Duration keepAlive{};                 // after which an endpoint closes an idle connection
     EndpointVocabulary vocabulary;
-    EndpointList known;  // the endpoints as this gateway last had them; may be old
+    EndpointList known;  // the endpoints as this gateway last knew them; may be outdated
     Timing timing;
 };
 
-// When the file is read: at the start EDGE_DISCOVERY stands over it; a file that replaced it later is newer
-// than the environment, and its own addresses hold.
-enum class Reading { atStart, again };
+// Why the configuration is read. EDGE_DISCOVERY overrides the file at the start only: a file that has
+// replaced the first one is newer than the environment.
+enum class ConfigLoad { initial, reload };
 
-// Throws ConfigError with one line that names what is wrong.
-Config readConfig(const std::string& text, Reading reading = Reading::atStart);
+// Reads a configuration from the text of the file and the environment. Throws ConfigError, one line that
+// names what is wrong.
+Config readConfig(const std::string& text, ConfigLoad load = ConfigLoad::initial);
 
-// The same from the file that EDGE_CONFIG names.
-Config configFromEnvironment(Reading reading = Reading::atStart);
+// Reads the file that EDGE_CONFIG names, and the environment. Throws ConfigError.
+Config configFromEnvironment(ConfigLoad load = ConfigLoad::initial);
 
 }  // namespace gateway::net
--- a/src/net/server/service.cpp
+++ b/src/net/server/service.cpp
@@ -34,7 +34,7 @@
     void reload() {
         try {
             server_.ensureDescriptor();
-            server_.reload(configFromEnvironment(Reading::again));
+            server_.reload(configFromEnvironment(ConfigLoad::reload));
         } catch (const std::exception& e) {
             log(LogLevel::error, "SIGHUP", e.what());
         }
--- a/src/settings/input_error.h
+++ b/src/settings/input_error.h
@@ -1,8 +1,8 @@
-// Errors of input from outside: where it stands, and what is wrong with it.
+// Errors in input from outside the program: where they are, and what is wrong.
 //
-// docs/architecture.md has the rule: what is read once or seldom (configuration, settings, discovery's lists,
-// the simulator's lines) throws the type of its boundary; what comes with every request is reported by a
-// result.
+// Input that is read rarely (configuration, settings, endpoint lists, the simulator's lines) throws the error
+// type of its boundary. Input that comes with every request is reported by a result. See
+// docs/architecture.md.
 #pragma once
 
 #include <stdexcept>
@@ -17,7 +17,9 @@
     InputError(std::string place, std::string reason)
         : std::runtime_error(place + ": " + reason), place_(std::move(place)), reason_(std::move(reason)) {}
 
+    // Where the error is, for example "config.settings.classes[0].aimS".
     const std::string& place() const { return place_; }
+    // What is wrong, for example "must be a number".
     const std::string& reason() const { return reason_; }
 
 private:
@@ -25,27 +27,27 @@
     std::string reason_;
 };
 
-// A field of a JSON document. Boundaries turn it into their own type by readInput().
+// A missing or invalid field of a JSON document. readInput() turns it into the error type of a boundary.
 class FieldError final : public InputError {
     using InputError::InputError;
 };
 
-// EDGE_CONFIG, or the environment.
+// The file that EDGE_CONFIG names, or the environment.
 class ConfigError final : public InputError {
     using InputError::InputError;
 };
 
-// A list of endpoints that discovery reported.
+// A document from discovery.
 class EndpointListError final : public InputError {
     using InputError::InputError;
 };
 
-// A line of the simulator's wire.
+// A line from the simulator.
 class WireError final : public InputError {
     using InputError::InputError;
 };
 
-// Runs `read`; what is wrong with a field comes out as `Error`.
+// Calls `read` and returns its result. Throws a FieldError of `read` on as `Error`.
 template <class Error, class Read>
 auto readInput(Read&& read) {
     try {
--- a/src/settings/settings_json.cpp
+++ b/src/settings/settings_json.cpp
@@ -37,7 +37,7 @@
     return plan;
 }
 
-// What a gateway is allowed to do.
+// Reads what the gateway is allowed to do.
 void readAllowed(const Fields& allowed, Settings& settings) {
     settings.cancellationAllowed = allowed.flag("cancel");
     settings.healthChecksAllowed = allowed.flag("probes");
@@ -48,7 +48,7 @@
     settings.connectTimeout = allowed.seconds("dialTimeoutS", 0);
 }
 
-// The counter service, and how costs are reported.
+// Reads the settings of the counter service and of how costs and usage are reported.
 void readDomain(const Fields& domain, Settings& settings) {
     settings.counterEnabled = domain.flag("mayCount");
     settings.counterTimeout = domain.seconds("counterTimeoutS", 0);
@@ -57,6 +57,7 @@
     settings.usageMeterPeriod = domain.seconds("meteringS", 0);
 }
 
+// Reads time limits and the rules for starting and draining endpoints.
 void readRules(const Fields& rules, Settings& settings) {
     settings.responseSlack = rules.seconds("answerSlackS", 0);
     settings.drainGracePeriod = rules.seconds("drainGraceS", 0);
@@ -67,6 +68,20 @@
     settings.overloadWindow = rules.seconds("tipAfterS", 0);
 }
 
+LoadReportSource readLoadReportSource(const Fields& fields) {
+    if (!fields.has("report")) return LoadReportSource::none;
+    return fields.object("report").choice<LoadReportSource>("how",
+                                                            {{"inline", LoadReportSource::inResponses},
+                                                             {"on_probe", LoadReportSource::inHealthChecks},
+                                                             {"off", LoadReportSource::none}});
+}
+
+DiscoveryMode readDiscoveryMode(const Fields& fields) {
+    if (!fields.has("discovery")) return DiscoveryMode::push;
+    return fields.choice<DiscoveryMode>("discovery",
+                                        {{"push", DiscoveryMode::push}, {"ask", DiscoveryMode::poll}});
+}
+
 }  // namespace
 
 Settings readSettings(const Fields& fields) {
@@ -77,16 +92,9 @@
     settings.gatewayIndex = fields.integer("me", 0);
     settings.gatewayCount = fields.integer("balancers");
     settings.zone = ZoneId{fields.integer("locality", 0)};
-    if (fields.has("discovery"))
-        settings.discovery = fields.choice<DiscoveryMode>(
-            "discovery", {{"push", DiscoveryMode::push}, {"ask", DiscoveryMode::poll}});
-    if (fields.has("report"))
-        settings.loadReportSource = fields.object("report").choice<LoadReportSource>(
-            "how", {{"inline", LoadReportSource::inResponses},
-                    {"on_probe", LoadReportSource::inHealthChecks},
-                    {"off", LoadReportSource::none}});
+    settings.discovery = readDiscoveryMode(fields);
+    settings.loadReportSource = readLoadReportSource(fields);
     settings.endpointWeightsEnabled = fields.has("weights") && fields.text("weights") != "off";
-
     readAllowed(fields.object("allowed"), settings);
     if (fields.has("domain")) readDomain(fields.object("domain"), settings);
     readRules(fields.object("rules"), settings);
--- a/src/settings/settings_json.h
+++ b/src/settings/settings_json.h
@@ -1,4 +1,5 @@
-// Reads the settings of a gateway, as the simulator's first message and EDGE_CONFIG give them.
+// Reads a gateway's settings, as the simulator's first message and EDGE_CONFIG contain them. This is the only
+// place that knows the names of their fields.
 #pragma once
 
 #include "gateway/settings.h"
@@ -6,8 +7,8 @@
 
 namespace gateway {
 
-// Translates the pages' names into the ones used here. Throws FieldError, naming the place, where something
-// is missing, malformed or can't be served.
+// Translates the settings. Throws FieldError, with the place, if a field is missing or malformed or if
+// validate() finds a problem.
 Settings readSettings(const Fields& fields);
 
 }  // namespace gateway
--- a/src/settings/settings_validation.cpp
+++ b/src/settings/settings_validation.cpp
@@ -1,4 +1,4 @@
-// Checks that settings make sense; decides nothing.
+// Checks that the values of settings are in range and consistent.
 #include <string>
 #include <string_view>
 #include <utility>
@@ -10,27 +10,27 @@
 
 constexpr std::string_view kNegative = "must not be negative";
 
-// Collects the first problem.
+// Keeps the first problem that a check finds.
 class Checker {
 public:
     void require(bool holds, std::string_view field, std::string_view reason) {
         if (!holds && !problem_)
             problem_ = SettingsProblem{prefix_ + std::string(field), std::string(reason)};
     }
-    void notNegative(double value, std::string_view field) { require(!(value < 0), field, kNegative); }
-    void notNegative(Duration value, std::string_view field) {
+    void requireNotNegative(double value, std::string_view field) { require(!(value < 0), field, kNegative); }
+    void requireNotNegative(Duration value, std::string_view field) {
         require(value >= Duration::zero(), field, kNegative);
     }
-    void positive(Duration value, std::string_view field) {
+    void requirePositive(Duration value, std::string_view field) {
         require(value > Duration::zero(), field, "must be above 0");
     }
 
-    // The fields that follow are of one entry of a list.
-    void enter(const std::string& list, std::size_t index) {
+    // The checks that follow are of one entry of a list.
+    void enterItem(const std::string& list, std::size_t index) {
         prefix_ = list + "[" + std::to_string(index) + "].";
     }
 
-    std::optional<SettingsProblem> problem() && { return std::move(problem_); }
+    const std::optional<SettingsProblem>& problem() const { return problem_; }
 
 private:
     std::string prefix_;
@@ -43,30 +43,30 @@
     check.require(settings.gatewayIndex >= 0 && settings.gatewayIndex < settings.gatewayCount, "gatewayIndex",
                   "must be from 0 to gatewayCount - 1");
     check.require(settings.maxAttempts >= 1, "maxAttempts", "must be 1 or more");
-    check.notNegative(settings.maxRequestCost, "maxRequestCost");
-    check.notNegative(settings.counterTimeout, "counterTimeout");
-    check.notNegative(settings.drainGracePeriod, "drainGracePeriod");
+    check.requireNotNegative(settings.maxRequestCost, "maxRequestCost");
+    check.requireNotNegative(settings.counterTimeout, "counterTimeout");
+    check.requireNotNegative(settings.drainGracePeriod, "drainGracePeriod");
     const double initialShare = settings.slowStartInitialShare;
     check.require(!(initialShare < 0 || initialShare > 1), "slowStartInitialShare", "must be from 0 to 1");
-    check.notNegative(settings.slowStartDuration, "slowStartDuration");
-    check.notNegative(settings.overloadMultiple, "overloadMultiple");
-    check.notNegative(settings.overloadWindow, "overloadWindow");
+    check.requireNotNegative(settings.slowStartDuration, "slowStartDuration");
+    check.requireNotNegative(settings.overloadMultiple, "overloadMultiple");
+    check.requireNotNegative(settings.overloadWindow, "overloadWindow");
 }
 
 void checkClass(Checker& check, const RequestClass& terms) {
-    check.positive(terms.latencyObjective, "latencyObjective");
-    check.positive(terms.deadline, "deadline");
-    check.notNegative(terms.idempotencyWindow, "idempotencyWindow");
-    check.notNegative(terms.latencyObjectiveStretch, "latencyObjectiveStretch");
+    check.requirePositive(terms.latencyObjective, "latencyObjective");
+    check.requirePositive(terms.deadline, "deadline");
+    check.requireNotNegative(terms.idempotencyWindow, "idempotencyWindow");
+    check.requireNotNegative(terms.latencyObjectiveStretch, "latencyObjectiveStretch");
 }
 
 void checkPlan(Checker& check, const QuotaPlan& plan) {
-    check.notNegative(plan.rate, "rate");
-    check.notNegative(plan.burst, "burst");
-    check.notNegative(plan.concurrency, "concurrency");
-    check.notNegative(plan.ceilingRate, "ceilingRate");
-    check.notNegative(plan.ceilingBurst, "ceilingBurst");
-    check.notNegative(plan.ceilingSlack, "ceilingSlack");
+    check.requireNotNegative(plan.rate, "rate");
+    check.requireNotNegative(plan.burst, "burst");
+    check.requireNotNegative(plan.concurrency, "concurrency");
+    check.requireNotNegative(plan.ceilingRate, "ceilingRate");
+    check.requireNotNegative(plan.ceilingBurst, "ceilingBurst");
+    check.requireNotNegative(plan.ceilingSlack, "ceilingSlack");
 }
 
 }  // namespace
@@ -75,14 +75,14 @@
     Checker check;
     checkGateway(check, settings);
     for (std::size_t i = 0; i < settings.classes.size(); ++i) {
-        check.enter("classes", i);
+        check.enterItem("classes", i);
         checkClass(check, settings.classes[i]);
     }
     for (std::size_t i = 0; i < settings.plans.size(); ++i) {
-        check.enter("plans", i);
+        check.enterItem("plans", i);
         checkPlan(check, settings.plans[i]);
     }
-    return std::move(check).problem();
+    return check.problem();
 }
 
 }  // namespace gateway
--- /dev/null
+++ b/src/simulator/batch_server.cpp
@@ -0,0 +1,102 @@
+#include "simulator/batch_server.h"
+
+#include <utility>
+#include <variant>
+
+#include "settings/settings_json.h"
+#include "simulator/wire_reader.h"
+#include "simulator/wire_writer.h"
+
+namespace gateway::simulator {
+namespace {
+
+// Parses a message: an object with its name as the only key.
+Json parseMessage(const std::string& line) {
+    Json message;
+    try {
+        message = Json::parse(line);
+    } catch (const Json::parse_error& e) {
+        throw FieldError("not JSON", e.what());
+    }
+    if (!message.is_object() || message.size() != 1)
+        throw FieldError("message", "must be an object with one key, its name");
+    return message;
+}
+
+}  // namespace
+
+std::optional<std::string> BatchServer::handleLine(const std::string& line) {
+    const Json message = parseMessage(line);
+    const std::string& name = message.begin().key();
+    const Fields fields(message.begin().value(), name);
+    if (name == "tick") {
+        beginBatch(fields);
+        return std::nullopt;
+    }
+    if (!isInBatch_) fields.complain("", "is outside a batch");
+    if (name == "eofBatch") return endBatch();
+    handleMessage(name, fields);
+    return std::nullopt;
+}
+
+void BatchServer::beginBatch(const Fields& fields) {
+    if (isInBatch_) fields.complain("", "the batch before has not ended");
+    now_ = fields.timePoint("momentS");
+    isInBatch_ = true;
+}
+
+std::string BatchServer::endBatch() {
+    isInBatch_ = false;
+    std::string reply = std::exchange(reply_, {});
+    reply += "{\"ready\":{}}\n";
+    return reply;
+}
+
+void BatchServer::handleMessage(const std::string& name, const Fields& fields) {
+    const int number = fields.integer("gatekeeper");
+    if (name == "enlist") {
+        startGateway(number, fields);
+        return;
+    }
+    const auto found = gateways_.find(number);
+    if (found == gateways_.end())
+        fields.complain("gatekeeper", "number " + std::to_string(number) + " was never enlisted");
+    if (name == "shutdown") {
+        gateways_.erase(found);
+        return;
+    }
+    const std::optional<Event> event = readEvent(name, fields);
+    if (!event) return;
+    if (const auto* arrival = std::get_if<RequestArrived>(&*event))
+        checkIndices(found->second, *arrival, fields);
+    handleEvent(number, found->second, *event);
+}
+
+// A gateway that is started again forgets all that it knew.
+void BatchServer::startGateway(int number, const Fields& fields) {
+    Settings settings = readSettings(fields.object("info"));
+    const int classCount = static_cast<int>(settings.classes.size());
+    const int planCount = static_cast<int>(settings.plans.size());
+    DecisionEngine engine(std::move(settings), fields.unsignedInteger("randomSeed"));
+    gateways_.insert_or_assign(number, Gateway{std::move(engine), classCount, planCount});
+}
+
+void BatchServer::handleEvent(int number, Gateway& gateway, const Event& event) {
+    actions_.clear();
+    gateway.engine.handle(now_, event, actions_);
+    for (const Action& action : actions_) {
+        reply_ += writeAction(number, action);
+        reply_ += '\n';
+    }
+}
+
+// The engine expects indices that its settings have.
+void BatchServer::checkIndices(const Gateway& gateway, const RequestArrived& arrival, const Fields& fields) {
+    const int classIndex = static_cast<int>(arrival.requestClass);
+    if (classIndex < 0 || classIndex >= gateway.classCount) fields.complain("priority", "no such class");
+    const int plan = static_cast<int>(arrival.plan);
+    if (plan < 0 || (gateway.planCount > 0 && plan >= gateway.planCount))
+        fields.complain("contract", "no such plan");
+}
+
+}  // namespace gateway::simulator
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,4 +1,4 @@
-// The adapter: the decision engine of many gateways on the simulator's wire, on standard input and output.
+// The simulator adapter: runs many simulated gateways on standard input and output.
 #include <exception>
 #include <iostream>
 
--- a/src/simulator/wire_reader.cpp
+++ b/src/simulator/wire_reader.cpp
@@ -5,7 +5,7 @@
 namespace gateway::simulator {
 namespace {
 
-constexpr std::size_t kMaxTimerDigits = 18;
+constexpr std::size_t kMaxTimerDigits = 18;  // fit in 64 bits
 
 RequestId readRequestId(const Fields& fields) {
     return RequestId(fields.text("corr"));
@@ -87,7 +87,7 @@
     ended.elapsed = fields.seconds("waitTimeS", 0);
     ended.closed = fields.flag("last");
     if (const double billed = fields.number("billed", 0); billed > 0) ended.trueCost = billed;
-    // The wire tells one more than the meter's percent, so that 0 can stand for none.
+    // The wire has the meter's percentage plus 1; 0 means that there is none.
     if (const double metered = fields.number("metered", 0); metered > 0) ended.meteredPercent = metered - 1;
     ended.report = readReport(fields);
     return ended;
@@ -132,7 +132,7 @@
     if (name == "lapsed") return ClientDisconnected{readRequestId(fields)};
     if (name == "added") return readCounterReply(fields);
     if (name == "bell") return readTimer(fields);
-    // A gateway sends neither health checks nor messages to its peers, and has no use for theirs.
+    // Gateways use neither health checks nor messages of peers.
     if (name == "pingResult")
         checkHealthCheck(fields);
     else if (name == "memo")
--- a/src/simulator/wire_reader.h
+++ b/src/simulator/wire_reader.h
@@ -1,4 +1,5 @@
-// Reads the simulator's lines: translates its words into events. Decides nothing.
+// Translates the simulator's messages into events. This and wire_writer are the only places that know their
+// names.
 #pragma once
 
 #include <optional>
@@ -9,8 +10,8 @@
 
 namespace gateway::simulator {
 
-// The event that a message tells of; nothing for one that a gateway does not use. Throws FieldError where the
-// message is malformed or not known.
+// Returns the event of a message, or nothing for a message that gateways check and ignore. Throws FieldError
+// if the message is malformed or unknown.
 std::optional<Event> readEvent(const std::string& name, const Fields& fields);
 
 }  // namespace gateway::simulator
--- a/src/simulator/wire_server.h
+++ b/src/simulator/wire_server.h
@@ -1,4 +1,4 @@
-// Serves the simulator: reads batches of events of many gateways, and answers each with what they do.
+// Serves the simulator on a pair of streams.
 #pragma once
 
 #include <istream>
@@ -8,7 +8,8 @@
 
 namespace gateway::simulator {
 
-// Answers batches until the input ends. Throws WireError, naming the line, at the first malformed one.
+// Reads batches of events from `in` and writes a reply to each to `out`, until `in` ends. Throws WireError,
+// with the number of the line, at the first malformed line, and if `in` ends within a batch.
 void serve(std::istream& in, std::ostream& out);
 
 }  // namespace gateway::simulator
--- a/src/simulator/wire_writer.cpp
+++ b/src/simulator/wire_writer.cpp
@@ -1,5 +1,6 @@
 #include "simulator/wire_writer.h"
 
+#include <chrono>
 #include <cstdint>
 #include <nlohmann/json.hpp>
 #include <utility>
@@ -11,16 +12,15 @@
 using Json = nlohmann::json;
 
 double toSeconds(Duration duration) {
-    return static_cast<double>(duration.count()) / 1e6;
+    return std::chrono::duration<double>(duration).count();
 }
 
-// The name of an action on the wire, and its fields.
 struct Message {
-    const char* name;
+    const char* name;  // of the action on the wire
     Json fields;
 };
 
-struct Translator {
+struct ActionTranslator {
     Message operator()(const SendAttempt& action) const {
         Json fields{{"corr", action.request.value()}, {"worker", action.endpoint.value()}};
         if (action.timeout != Duration::zero()) fields["capS"] = toSeconds(action.timeout);
@@ -53,7 +53,7 @@
 }  // namespace
 
 std::string writeAction(int gateway, const Action& action) {
-    Message message = std::visit(Translator{}, action);
+    Message message = std::visit(ActionTranslator{}, action);
     message.fields["gatekeeper"] = gateway;
     return Json{{message.name, std::move(message.fields)}}.dump();
 }
--- a/src/simulator/wire_writer.h
+++ b/src/simulator/wire_writer.h
@@ -1,4 +1,4 @@
-// Writes the simulator's lines: translates actions into its words. Decides nothing.
+// Translates actions into the simulator's messages.
 #pragma once
 
 #include <string>
@@ -7,7 +7,7 @@
 
 namespace gateway::simulator {
 
-// One line, without its end, that tells what the gateway with this number does.
+// Returns the message for an action of the gateway with this number: one line, without its line end.
 std::string writeAction(int gateway, const Action& action);
 
 }  // namespace gateway::simulator
