--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -224,13 +224,8 @@
 
 // Called before bytes of a request are sent. The client may have closed its connection without that having
 // been read: its end is found behind its request, or after other work that kept this gateway busy.
-<<<<<<< HEAD
-void GatewayServer::disconnectIfClientClosed(const RequestId& id) {
-    if (const auto client = requests_.client(id)) ClientServer::endIfDisconnected(*client);
-=======
 void GatewayServer::disconnectIfClosed(const std::shared_ptr<ClientSession>& client) {
-    if (client) ClientServer::hasDisconnected(*client);
->>>>>>> part-server
+    if (client) ClientServer::endIfDisconnected(*client);
 }
 
 void GatewayServer::answer(const RequestId& id, const ClientResponse& response) {
