--- a/src/decision/upstream/endpoint_concurrency_limit.h
+++ b/src/decision/upstream/endpoint_concurrency_limit.h
@@ -23,8 +23,8 @@
     // Precondition: an attempt is in flight.
     void endAttempt() { --inFlight_; }
 
-    // Adapts the limit to an attempt that ended. An overloaded endpoint lowers it, once in a response time at
-    // most. A response raises it while the limit is nearly used up.
+    // Adapts the limit to an attempt that ended. An overloaded endpoint lowers it, at most once per response
+    // time. A response raises it while the limit is nearly used up.
     void observe(const AttemptSample& sample, TimePoint now);
 
     // Starts over with the initial limit `maxInFlight`. Attempts in flight stay counted until they end.
--- a/src/decision/upstream/endpoint_picker.cpp
+++ b/src/decision/upstream/endpoint_picker.cpp
@@ -32,13 +32,13 @@
 
 std::optional<std::size_t> EndpointPicker::pickInPass(Pass pass, const Request& request, TimePoint now,
                                                       RandomSource& random) {
-    const bool ejectionAllowed = isEjectionAllowed(now);
+    const bool avoidsEjected = isEjectionAllowed(now);
     const std::span<Endpoint> slots = endpoints_.slots();
     std::optional<std::size_t> best;
     double lowestCost = std::numeric_limits<double>::infinity();
     for (std::size_t slot = 0; slot < slots.size(); ++slot) {
         Endpoint& endpoint = slots[slot];
-        if (!isCandidate(endpoint, pass, ejectionAllowed, now)) continue;
+        if (!isCandidate(endpoint, pass, avoidsEjected, now)) continue;
         const double capacityShare = slowStart_.capacityShare(endpoint.entry(), now);
         slowStart_.accrueTokens(endpoint, capacityShare, endpoints_.capacity());
         if (!SlowStart::mayReceiveAttempt(endpoint, capacityShare)) continue;
@@ -52,9 +52,9 @@
     return best;
 }
 
-bool EndpointPicker::isCandidate(const Endpoint& endpoint, Pass pass, bool isEjectionAllowed, TimePoint now) {
+bool EndpointPicker::isCandidate(const Endpoint& endpoint, Pass pass, bool avoidsEjected, TimePoint now) {
     if (!endpoint.isUsable() || !endpoint.hasCapacity()) return false;
-    if (isEjectionAllowed && endpoint.isEjected(now)) return false;
+    if (avoidsEjected && endpoint.isEjected(now)) return false;
     return endpoint.isInSubset() == (pass == Pass::insideSubset);
 }
 
--- a/src/decision/upstream/endpoint_picker.h
+++ b/src/decision/upstream/endpoint_picker.h
@@ -13,8 +13,8 @@
 
 namespace gateway {
 
-// Picks the endpoint with the lowest cost: load for its capacity, slowness and error rate. The choice draws
-// one random number for each candidate.
+// Picks the endpoint with the lowest cost: load for its capacity, slowness and error rate. The choice
+// draws at most one random number for each candidate, in the order of the slots.
 class EndpointPicker {
 public:
     // All arguments must outlive the picker.
@@ -23,8 +23,9 @@
         : settings_(settings), endpoints_(endpoints), stats_(stats), slowStart_(slowStart) {}
 
     // Returns the slot of the best endpoint for the next attempt of `request`, or nothing when none may
-    // receive it. `work`: the request's work in requests of mean work. On the way it refreshes the subset and
-    // accrues slow start tokens.
+    // receive it. `work`: the request's work in requests of mean work. It also refreshes the subset, accrues
+    // slow start tokens, and records the work as unserved when nothing is returned and no warm endpoint is
+    // available.
     std::optional<std::size_t> pick(const Request& request, double work, TimePoint now, RandomSource& random);
 
 private:
@@ -33,7 +34,7 @@
 
     std::optional<std::size_t> pickInPass(Pass pass, const Request& request, TimePoint now,
                                           RandomSource& random);
-    static bool isCandidate(const Endpoint& endpoint, Pass pass, bool isEjectionAllowed, TimePoint now);
+    static bool isCandidate(const Endpoint& endpoint, Pass pass, bool avoidsEjected, TimePoint now);
     bool isEjectionAllowed(TimePoint now) const;
     bool canDeduplicate(const Endpoint& endpoint, const Request& request) const;
 
--- a/src/decision/upstream/endpoint_set.cpp
+++ b/src/decision/upstream/endpoint_set.cpp
@@ -11,7 +11,7 @@
         for (Endpoint& endpoint : endpoints_) endpoint.markRemoved();
     for (const EndpointEntry& entry : update.entries) applyEntry(entry);
     releaseUnusedSlots();
-    redrawSubset(now);
+    rebuildSubset(now);
 }
 
 void EndpointSet::applyEntry(const EndpointEntry& entry) {
@@ -47,10 +47,10 @@
 }
 
 void EndpointSet::refreshSubset(TimePoint now) {
-    if (subset_.isStale(now)) redrawSubset(now);
+    if (subset_.isStale(now)) rebuildSubset(now);
 }
 
-void EndpointSet::redrawSubset(TimePoint now) {
+void EndpointSet::rebuildSubset(TimePoint now) {
     FleetCapacity capacity;
     std::vector<Endpoint*> warm;
     std::vector<Endpoint*> warmingUp;
@@ -64,7 +64,7 @@
         ring.push_back(&endpoint);
     }
     capacity_ = capacity;
-    subset_.draw(endpoints_, std::move(warm), std::move(warmingUp), now);
+    subset_.select(endpoints_, std::move(warm), std::move(warmingUp), now);
 }
 
 bool EndpointSet::hasAvailableWarmEndpoint(TimePoint now) const {
--- a/src/decision/upstream/endpoint_set.h
+++ b/src/decision/upstream/endpoint_set.h
@@ -26,7 +26,7 @@
     // Takes in an endpoint list, or changes of it. Precondition: the update is not a failed one.
     void apply(const EndpointUpdate& update, TimePoint now);
 
-    // Draws the subset again if the latest draw is old.
+    // Selects the subset again if the latest selection is old.
     void refreshSubset(TimePoint now);
 
     // The endpoint in the slot. Valid until the next call of apply(). Precondition: the slot exists.
@@ -39,7 +39,7 @@
     // Number of endpoints that are listed, draining ones included, or have an attempt in flight.
     std::size_t listedCount() const { return slotByName_.size(); }
 
-    // Capacity of the usable endpoints at the latest draw of the subset.
+    // Capacity of the usable endpoints at the latest selection of the subset.
     const FleetCapacity& capacity() const { return capacity_; }
 
     // Whether some usable endpoint is neither warming up nor ejected.
@@ -49,7 +49,7 @@
     void applyEntry(const EndpointEntry& entry);
     std::size_t findOrAssignSlot(const EndpointId& name);
     void releaseUnusedSlots();
-    void redrawSubset(TimePoint now);
+    void rebuildSubset(TimePoint now);
 
     const SlowStart& slowStart_;
     const ConcurrencyLimiter& limiter_;
--- a/src/decision/upstream/endpoint_subset.cpp
+++ b/src/decision/upstream/endpoint_subset.cpp
@@ -26,23 +26,23 @@
       isLargeFleet_(isLargeFleet(settings)) {}
 
 bool EndpointSubset::isStale(TimePoint now) const {
-    return now - drawnAt_ > kSubsetLifetime;
+    return now - selectedAt_ > kSubsetLifetime;
 }
 
-void EndpointSubset::draw(std::span<Endpoint> endpoints, std::vector<Endpoint*> warm,
-                          std::vector<Endpoint*> warmingUp, TimePoint now) {
-    drawnAt_ = now;
+void EndpointSubset::select(std::span<Endpoint> endpoints, std::vector<Endpoint*> warm,
+                            std::vector<Endpoint*> warmingUp, TimePoint now) {
+    selectedAt_ = now;
     if (!isLargeFleet_) return;
     for (Endpoint& endpoint : endpoints) endpoint.setSubsetShare(0);
     const double usable = static_cast<double>(warm.size() + warmingUp.size());
     if (usable == 0) return;
     const double size = std::max(kMinSubsetSize, usable * kMinGatewaysPerEndpoint / gatewayCount_);
-    drawFromRing(warm, size / usable);
-    drawFromRing(warmingUp, size / usable);
+    selectFromRing(warm, size / usable);
+    selectFromRing(warmingUp, size / usable);
 }
 
 // Takes `share` of the ring, from the position that the gateway's index gives.
-void EndpointSubset::drawFromRing(std::vector<Endpoint*>& ring, double share) const {
+void EndpointSubset::selectFromRing(std::vector<Endpoint*>& ring, double share) const {
     if (ring.empty()) return;
     std::sort(ring.begin(), ring.end(), isNameLess);
     const double ringSize = static_cast<double>(ring.size());
--- a/src/decision/upstream/endpoint_subset.h
+++ b/src/decision/upstream/endpoint_subset.h
@@ -15,27 +15,27 @@
 
 namespace gateway {
 
-// Keeps the time of the latest draw; the endpoints hold their membership as Endpoint::subsetShare.
+// Keeps the time of the latest selection; the endpoints hold their membership as Endpoint::subsetShare.
 class EndpointSubset {
 public:
     // Reads the settings only here.
     explicit EndpointSubset(const Settings& settings);
 
-    // Whether the subset is due for a new draw: some endpoints have warmed up in the meantime.
+    // Whether the subset is due for a new selection: some endpoints have warmed up in the meantime.
     bool isStale(TimePoint now) const;
 
     // Chooses the members from `warm` and `warmingUp`, which are the usable ones among `endpoints`, and sets
     // the subset share of every endpoint. In a small fleet every endpoint stays a member.
-    void draw(std::span<Endpoint> endpoints, std::vector<Endpoint*> warm, std::vector<Endpoint*> warmingUp,
-              TimePoint now);
+    void select(std::span<Endpoint> endpoints, std::vector<Endpoint*> warm, std::vector<Endpoint*> warmingUp,
+                TimePoint now);
 
 private:
-    void drawFromRing(std::vector<Endpoint*>& ring, double share) const;
+    void selectFromRing(std::vector<Endpoint*>& ring, double share) const;
 
     int gatewayIndex_;
     int gatewayCount_;
     bool isLargeFleet_;
-    TimePoint drawnAt_{};
+    TimePoint selectedAt_{};
 };
 
 }  // namespace gateway
--- a/tests/decision/upstream/endpoint_picker_test.cpp
+++ b/tests/decision/upstream/endpoint_picker_test.cpp
@@ -92,8 +92,8 @@
     bool reachesOtherCell;  // in the same zone
 };
 
-void PrintTo(const DeduplicationCase& row, std::ostream* out) {  // NOLINT(readability-identifier-naming)
-    *out << row.name;
+std::ostream& operator<<(std::ostream& out, const DeduplicationCase& row) {
+    return out << row.name;
 }
 
 class EndpointPickerDeduplicationTest : public EndpointPickerTest,
--- a/tests/decision/upstream/endpoint_set_test.cpp
+++ b/tests/decision/upstream/endpoint_set_test.cpp
@@ -64,6 +64,14 @@
     EXPECT_EQ(endpoints.slots().size(), 2u);
 }
 
+TEST_F(EndpointSetTest, SlotWithoutAnEndpointIsNotUsable) {
+    endpoints.apply(updateOf(UpdateKind::snapshot, {entry("w0")}), kNow);
+    endpoints.apply(updateOf(UpdateKind::snapshot, {}), kNow);
+    EXPECT_EQ(endpoints.slots().size(), 1u);
+    EXPECT_EQ(endpoints.listedCount(), 0u);
+    EXPECT_EQ(usableCount(), 0u);
+}
+
 TEST_F(EndpointSetTest, CapacitySumsWeightsOfUsableEndpointsByTheirPresentCapacity) {
     EndpointEntry warmingUp = entry("w1");
     warmingUp.startedAt = kNow;
--- a/tests/decision/upstream/endpoint_subset_test.cpp
+++ b/tests/decision/upstream/endpoint_subset_test.cpp
@@ -42,14 +42,14 @@
 TEST_F(EndpointSubsetTest, ContainsEveryEndpointInASmallFleet) {
     std::vector<Endpoint> endpoints = makeEndpoints(40);
     EndpointSubset subset(settingsOf(10));
-    subset.draw(endpoints, ringOf(endpoints, 0, 40), {}, kStart);
+    subset.select(endpoints, ringOf(endpoints, 0, 40), {}, kStart);
     for (const Endpoint& endpoint : endpoints) EXPECT_EQ(endpoint.subsetShare(), 1);
 }
 
 TEST_F(EndpointSubsetTest, ContainsItsShareOfWarmEndpointsAndOfThoseWarmingUp) {
     std::vector<Endpoint> endpoints = makeEndpoints(40);
     EndpointSubset subset(settingsOf(100));
-    subset.draw(endpoints, ringOf(endpoints, 0, 30), ringOf(endpoints, 30, 40), kStart);
+    subset.select(endpoints, ringOf(endpoints, 0, 30), ringOf(endpoints, 30, 40), kStart);
     std::size_t warm = 0;
     std::size_t warmingUp = 0;
     for (std::size_t i = 0; i < endpoints.size(); ++i) {
@@ -67,18 +67,18 @@
 TEST_F(EndpointSubsetTest, LeavesOutUnusableEndpoints) {
     std::vector<Endpoint> endpoints = makeEndpoints(3);
     EndpointSubset subset(settingsOf(100));
-    subset.draw(endpoints, ringOf(endpoints, 0, 2), {}, kStart);
+    subset.select(endpoints, ringOf(endpoints, 0, 2), {}, kStart);
     EXPECT_TRUE(endpoints[0].isInSubset());
     EXPECT_FALSE(endpoints[2].isInSubset());
-    subset.draw(endpoints, {}, {}, kStart);
+    subset.select(endpoints, {}, {}, kStart);
     EXPECT_FALSE(endpoints[0].isInSubset());
 }
 
-TEST_F(EndpointSubsetTest, IsStaleASecondAfterTheLatestDraw) {
+TEST_F(EndpointSubsetTest, IsStaleASecondAfterTheLatestSelection) {
     std::vector<Endpoint> endpoints = makeEndpoints(1);
     EndpointSubset subset(settingsOf(100));
     EXPECT_TRUE(subset.isStale(kStart));
-    subset.draw(endpoints, ringOf(endpoints, 0, 1), {}, kStart);
+    subset.select(endpoints, ringOf(endpoints, 0, 1), {}, kStart);
     EXPECT_FALSE(subset.isStale(kStart + milliseconds(1000)));
     EXPECT_TRUE(subset.isStale(kStart + milliseconds(1001)));
 }
--- a/tests/decision/upstream/retry_policy_test.cpp
+++ b/tests/decision/upstream/retry_policy_test.cpp
@@ -25,8 +25,8 @@
     bool isClientRetrySafe;
 };
 
-void PrintTo(const RetryCase& row, std::ostream* out) {  // NOLINT(readability-identifier-naming): GoogleTest
-    *out << row.name;
+std::ostream& operator<<(std::ostream& out, const RetryCase& row) {
+    return out << row.name;
 }
 
 // A request whose only attempt has failed.
--- a/tests/support/slow_start_fleet.cpp
+++ b/tests/support/slow_start_fleet.cpp
@@ -52,8 +52,8 @@
 
 }  // namespace
 
-void PrintTo(const FleetScenario& scenario, std::ostream* out) {
-    *out << scenario.name;
+std::ostream& operator<<(std::ostream& out, const FleetScenario& scenario) {
+    return out << scenario.name;
 }
 
 void OverloadTally::add(const OverloadTally& other) {
--- a/tests/support/slow_start_fleet.h
+++ b/tests/support/slow_start_fleet.h
@@ -38,7 +38,7 @@
     bool hasOtherSettings = false;  // a shorter and steeper slow start
 };
 
-void PrintTo(const FleetScenario& scenario, std::ostream* out);  // NOLINT(readability-identifier-naming)
+std::ostream& operator<<(std::ostream& out, const FleetScenario& scenario);
 
 // What endpoints that were warming up received. A window has the length of the settings' overload window and
 // ends at an attempt that such an endpoint receives. Its allowance is the work that the settings' overload
