--- a/src/decision/upstream/endpoint_set.cpp
+++ b/src/decision/upstream/endpoint_set.cpp
@@ -54,6 +54,8 @@
     FleetCapacity capacity;
     std::vector<Endpoint*> warm;
     std::vector<Endpoint*> warmingUp;
+    warm.reserve(endpoints_.size());
+    warmingUp.reserve(endpoints_.size());
     for (Endpoint& endpoint : endpoints_) {
         if (!endpoint.isUsable()) continue;
         const double capacityShare = slowStart_.capacityShare(endpoint.entry(), now);
