--- a/tests/net/server/event_loop_dispatcher_test.cpp
+++ b/tests/net/server/event_loop_dispatcher_test.cpp
@@ -20,62 +20,62 @@
         EventLoopDispatcher::Handlers result;
         result.handleEvent = [this](const Event& event, Actions& actions) {
             const TimerId timer = std::get<TimerFired>(event).timer;
-            journal_.push_back("event " + idOf(timer));
-            EXPECT_TRUE(dispatcher_.isDispatching());
-            for (const TimerId action : actionsOfEvent_) actions.emplace_back(SetTimer{action, {}});
-            actionsOfEvent_.clear();
+            journal.push_back("event " + idOf(timer));
+            EXPECT_TRUE(dispatcher.isDispatching());
+            for (const TimerId action : actionsOfEvent) actions.emplace_back(SetTimer{action, {}});
+            actionsOfEvent.clear();
             if (timer == kThrowingEvent) throw std::runtime_error("expected by the test");
         };
         result.executeAction = [this](const Action& action) {
             const TimerId timer = std::get<SetTimer>(action).timer;
-            journal_.push_back("action " + idOf(timer));
-            for (const TimerId event : std::exchange(eventsOfAction_, {})) dispatch(event);
+            journal.push_back("action " + idOf(timer));
+            for (const TimerId event : std::exchange(eventsOfAction, {})) dispatch(event);
         };
         result.onQueueEmpty = [this] {
-            journal_.emplace_back("queue empty");
-            EXPECT_FALSE(dispatcher_.isDispatching());
-            for (const TimerId event : std::exchange(eventsOfEmptyQueue_, {})) dispatch(event);
+            journal.emplace_back("queue empty");
+            EXPECT_FALSE(dispatcher.isDispatching());
+            for (const TimerId event : std::exchange(eventsOfEmptyQueue, {})) dispatch(event);
         };
         return result;
     }
 
-    void dispatch(TimerId timer) { dispatcher_.dispatch(TimerFired{timer}); }
+    void dispatch(TimerId timer) { dispatcher.dispatch(TimerFired{timer}); }
 
     static constexpr TimerId kThrowingEvent{99};
 
-    std::vector<std::string> journal_;
-    std::vector<TimerId> actionsOfEvent_;      // that the next event causes
-    std::vector<TimerId> eventsOfAction_;      // that the next action causes
-    std::vector<TimerId> eventsOfEmptyQueue_;  // that the next empty queue causes
-    EventLoopDispatcher dispatcher_{handlers()};
+    std::vector<std::string> journal;
+    std::vector<TimerId> actionsOfEvent;      // that the next event causes
+    std::vector<TimerId> eventsOfAction;      // that the next action causes
+    std::vector<TimerId> eventsOfEmptyQueue;  // that the next empty queue causes
+    EventLoopDispatcher dispatcher{handlers()};
 };
 
 TEST_F(EventLoopDispatcherTest, ExecutesActionsInOrderBeforeReturning) {
-    actionsOfEvent_ = {TimerId{7}, TimerId{8}};
+    actionsOfEvent = {TimerId{7}, TimerId{8}};
     dispatch(TimerId{1});
-    EXPECT_EQ(journal_, (std::vector<std::string>{"event 1", "action 7", "action 8", "queue empty"}));
-    EXPECT_FALSE(dispatcher_.isDispatching());
+    EXPECT_EQ(journal, (std::vector<std::string>{"event 1", "action 7", "action 8", "queue empty"}));
+    EXPECT_FALSE(dispatcher.isDispatching());
 }
 
 TEST_F(EventLoopDispatcherTest, QueuesEventsThatAnActionCausesBehindTheActionsInHand) {
-    actionsOfEvent_ = {TimerId{7}, TimerId{8}};
-    eventsOfAction_ = {TimerId{2}, TimerId{3}};
+    actionsOfEvent = {TimerId{7}, TimerId{8}};
+    eventsOfAction = {TimerId{2}, TimerId{3}};
     dispatch(TimerId{1});
-    EXPECT_EQ(journal_, (std::vector<std::string>{"event 1", "action 7", "action 8", "event 2", "event 3",
-                                                  "queue empty"}));
+    EXPECT_EQ(journal, (std::vector<std::string>{"event 1", "action 7", "action 8", "event 2", "event 3",
+                                                 "queue empty"}));
 }
 
 TEST_F(EventLoopDispatcherTest, HandlesEventDispatchedWhenQueueIsEmpty) {
-    eventsOfEmptyQueue_ = {TimerId{2}};
+    eventsOfEmptyQueue = {TimerId{2}};
     dispatch(TimerId{1});
-    EXPECT_EQ(journal_, (std::vector<std::string>{"event 1", "queue empty", "event 2", "queue empty"}));
+    EXPECT_EQ(journal, (std::vector<std::string>{"event 1", "queue empty", "event 2", "queue empty"}));
 }
 
 TEST_F(EventLoopDispatcherTest, ExceptionCostsOneEventAndKeepsActionsAppendedBefore) {
-    actionsOfEvent_ = {TimerId{7}};
-    eventsOfAction_ = {TimerId{2}};
+    actionsOfEvent = {TimerId{7}};
+    eventsOfAction = {TimerId{2}};
     dispatch(kThrowingEvent);
-    EXPECT_EQ(journal_, (std::vector<std::string>{"event 99", "action 7", "event 2", "queue empty"}));
+    EXPECT_EQ(journal, (std::vector<std::string>{"event 99", "action 7", "event 2", "queue empty"}));
 }
 
 }  // namespace
--- a/tests/net/server/graceful_shutdown_test.cpp
+++ b/tests/net/server/graceful_shutdown_test.cpp
@@ -16,63 +16,63 @@
 
     GracefulShutdown::Hooks hooks() {
         GracefulShutdown::Hooks result;
-        result.drainClients = [this](std::function<void()> onDrained) {
-            steps_.emplace_back("drain clients");
-            onDrained_ = std::move(onDrained);
+        result.drainClients = [this](std::function<void()> notifyDrained) {
+            steps.emplace_back("drain clients");
+            onDrained = std::move(notifyDrained);
         };
         result.isReconciled = [this] {
-            ++reconcilePolls_;
-            return isReconciled_;
+            ++reconcilePolls;
+            return isReconciled;
         };
-        result.stopDiscovery = [this] { steps_.emplace_back("stop discovery"); };
+        result.stopDiscovery = [this] { steps.emplace_back("stop discovery"); };
         return result;
     }
 
     void startShutdown() {
-        shutdown_.start([this] { steps_.emplace_back("complete"); });
+        shutdown.start([this] { steps.emplace_back("complete"); });
     }
 
-    boost::asio::io_context ioContext_;
-    TimerQueue timers_{ioContext_};
-    Steps steps_;
-    std::function<void()> onDrained_;
-    bool isReconciled_ = true;
-    int reconcilePolls_ = 0;
-    GracefulShutdown shutdown_{timers_, hooks()};
+    boost::asio::io_context ioContext;
+    TimerQueue timers{ioContext};
+    Steps steps;
+    std::function<void()> onDrained;
+    bool isReconciled = true;
+    int reconcilePolls = 0;
+    GracefulShutdown shutdown{timers, hooks()};
 };
 
 TEST_F(GracefulShutdownTest, WaitsForClientsToDrain) {
     startShutdown();
-    EXPECT_EQ(steps_, (Steps{"drain clients"}));
-    EXPECT_EQ(reconcilePolls_, 0);
+    EXPECT_EQ(steps, (Steps{"drain clients"}));
+    EXPECT_EQ(reconcilePolls, 0);
 }
 
 TEST_F(GracefulShutdownTest, CompletesAtOnceWhenDrainedAndReconciled) {
     startShutdown();
-    onDrained_();
-    EXPECT_EQ(steps_, (Steps{"drain clients", "stop discovery", "complete"}));
+    onDrained();
+    EXPECT_EQ(steps, (Steps{"drain clients", "stop discovery", "complete"}));
 }
 
 TEST_F(GracefulShutdownTest, PollsUntilReconciled) {
-    isReconciled_ = false;
+    isReconciled = false;
     startShutdown();
-    onDrained_();
-    ioContext_.run_one();
-    EXPECT_EQ(steps_, (Steps{"drain clients"}));
-    EXPECT_EQ(reconcilePolls_, 2);
-    isReconciled_ = true;
-    ioContext_.run_one();
-    EXPECT_EQ(steps_, (Steps{"drain clients", "stop discovery", "complete"}));
+    onDrained();
+    ioContext.run_one();
+    EXPECT_EQ(steps, (Steps{"drain clients"}));
+    EXPECT_EQ(reconcilePolls, 2);
+    isReconciled = true;
+    ioContext.run_one();
+    EXPECT_EQ(steps, (Steps{"drain clients", "stop discovery", "complete"}));
 }
 
 TEST_F(GracefulShutdownTest, CompletesWithoutReconciliationAfterOneSecond) {
-    isReconciled_ = false;
+    isReconciled = false;
     startShutdown();
     const SteadyTimePoint drainedAt = std::chrono::steady_clock::now();
-    onDrained_();
-    ioContext_.run();
+    onDrained();
+    ioContext.run();
     EXPECT_GE(std::chrono::steady_clock::now() - drainedAt, std::chrono::seconds(1));
-    EXPECT_EQ(steps_, (Steps{"drain clients", "stop discovery", "complete"}));
+    EXPECT_EQ(steps, (Steps{"drain clients", "stop discovery", "complete"}));
 }
 
 }  // namespace
--- a/tests/net/server/readiness_test.cpp
+++ b/tests/net/server/readiness_test.cpp
@@ -14,40 +14,40 @@
     static constexpr Duration kWait = milliseconds(20);
     static constexpr Duration kNever = std::chrono::hours(1);
 
-    Readiness readiness(Duration emptyListWait, Duration initialUpdateWait) {
+    Readiness makeReadiness(Duration emptyListWait, Duration initialUpdateWait) {
         Readiness::Limits limits;
         limits.emptyListWait = emptyListWait;
         limits.initialUpdateWait = initialUpdateWait;
-        return {timers_, limits};
+        return {timers, limits};
     }
 
-    void runOneTimer() { ioContext_.run_one(); }
+    void runOneTimer() { ioContext.run_one(); }
 
-    boost::asio::io_context ioContext_;
-    TimerQueue timers_{ioContext_};
+    boost::asio::io_context ioContext;
+    TimerQueue timers{ioContext};
 };
 
 TEST_F(ReadinessTest, IsNotReadyBeforeItsStart) {
-    const Readiness readiness = this->readiness(kNever, kNever);
+    const Readiness readiness = makeReadiness(kNever, kNever);
     EXPECT_FALSE(readiness.isReady());
 }
 
 TEST_F(ReadinessTest, IsReadyAtOnceWithConfiguredListWhenNoUpdateIsAwaited) {
-    Readiness readiness = this->readiness(kNever, kNever);
+    Readiness readiness = makeReadiness(kNever, kNever);
     readiness.noteEndpointList(UpdateKind::cached, false);
     readiness.start(false);
     EXPECT_TRUE(readiness.isReady());
 }
 
 TEST_F(ReadinessTest, IsReadyAtOnceWithConfiguredListWhenWaitForUpdateIsZero) {
-    Readiness readiness = this->readiness(kNever, Duration::zero());
+    Readiness readiness = makeReadiness(kNever, Duration::zero());
     readiness.noteEndpointList(UpdateKind::cached, false);
     readiness.start(true);
     EXPECT_TRUE(readiness.isReady());
 }
 
 TEST_F(ReadinessTest, BecomesReadyWithFirstUpdate) {
-    Readiness readiness = this->readiness(kNever, kNever);
+    Readiness readiness = makeReadiness(kNever, kNever);
     readiness.noteEndpointList(UpdateKind::cached, false);
     readiness.start(true);
     EXPECT_FALSE(readiness.isReady());
@@ -56,7 +56,7 @@
 }
 
 TEST_F(ReadinessTest, BecomesReadyWithoutUpdateAtEndOfWait) {
-    Readiness readiness = this->readiness(kNever, kWait);
+    Readiness readiness = makeReadiness(kNever, kWait);
     readiness.noteEndpointList(UpdateKind::cached, false);
     readiness.start(true);
     EXPECT_FALSE(readiness.isReady());
@@ -65,7 +65,7 @@
 }
 
 TEST_F(ReadinessTest, BecomesReadyWithEmptyListAtEndOfWait) {
-    Readiness readiness = this->readiness(kWait, kNever);
+    Readiness readiness = makeReadiness(kWait, kNever);
     readiness.noteEndpointList(UpdateKind::cached, true);
     readiness.start(false);
     EXPECT_FALSE(readiness.isReady());
@@ -74,7 +74,7 @@
 }
 
 TEST_F(ReadinessTest, EmptyDeltaDoesNotReplaceEmptyConfiguredList) {
-    Readiness readiness = this->readiness(kNever, kNever);
+    Readiness readiness = makeReadiness(kNever, kNever);
     readiness.noteEndpointList(UpdateKind::cached, true);
     readiness.start(true);
     readiness.noteEndpointList(UpdateKind::delta, true);
@@ -82,7 +82,7 @@
 }
 
 TEST_F(ReadinessTest, EmptySnapshotIsAUsableList) {
-    Readiness readiness = this->readiness(kNever, kNever);
+    Readiness readiness = makeReadiness(kNever, kNever);
     readiness.noteEndpointList(UpdateKind::cached, true);
     readiness.start(true);
     readiness.noteEndpointList(UpdateKind::snapshot, true);
--- a/tests/net/server/request_registry_test.cpp
+++ b/tests/net/server/request_registry_test.cpp
@@ -20,49 +20,49 @@
         return std::make_shared<const ForwardedRequest>();
     }
 
-    bool addRequest() { return registry_.add(kRequest, makeForwarded(), client_); }
+    bool addRequest() { return registry.add(kRequest, makeForwarded(), client); }
 
     AttemptId startAttempt(const EndpointId& endpoint) {
-        const auto attempt = registry_.startAttempt(kRequest, endpoint);
+        const auto attempt = registry.startAttempt(kRequest, endpoint);
         return attempt ? attempt->id : AttemptId::none;
     }
 
     const RequestId kRequest{"request"};
     const EndpointId kEndpoint{"endpoint"};
-    std::shared_ptr<ClientSession> client_ = makeClient();
-    RequestRegistry registry_;
+    std::shared_ptr<ClientSession> client = makeClient();
+    RequestRegistry registry;
 };
 
 TEST_F(RequestRegistryTest, ReturnsClientAndForwardedRequestOfRegisteredRequest) {
     const auto forwarded = makeForwarded();
-    ASSERT_TRUE(registry_.add(kRequest, forwarded, client_));
-    EXPECT_EQ(registry_.client(kRequest), client_);
-    const auto attempt = registry_.startAttempt(kRequest, kEndpoint);
+    ASSERT_TRUE(registry.add(kRequest, forwarded, client));
+    EXPECT_EQ(registry.client(kRequest), client);
+    const auto attempt = registry.startAttempt(kRequest, kEndpoint);
     ASSERT_TRUE(attempt);
     EXPECT_EQ(attempt->forwarded, forwarded);
-    EXPECT_EQ(attempt->client, client_);
+    EXPECT_EQ(attempt->client, client);
 }
 
 TEST_F(RequestRegistryTest, KnowsNothingOfUnregisteredRequest) {
-    EXPECT_EQ(registry_.client(kRequest), nullptr);
-    EXPECT_EQ(registry_.releaseClient(kRequest), nullptr);
-    EXPECT_FALSE(registry_.startAttempt(kRequest, kEndpoint));
-    EXPECT_EQ(registry_.attempt(kRequest, 0), AttemptId::none);
-    EXPECT_TRUE(registry_.attempts(kRequest).empty());
-    registry_.removeIfComplete(kRequest);
+    EXPECT_EQ(registry.client(kRequest), nullptr);
+    EXPECT_EQ(registry.releaseClient(kRequest), nullptr);
+    EXPECT_FALSE(registry.startAttempt(kRequest, kEndpoint));
+    EXPECT_EQ(registry.attempt(kRequest, 0), AttemptId::none);
+    EXPECT_TRUE(registry.attempts(kRequest).empty());
+    registry.removeIfComplete(kRequest);
 }
 
 TEST_F(RequestRegistryTest, RejectsSecondRequestWithSameIdAndKeepsFirst) {
     ASSERT_TRUE(addRequest());
-    EXPECT_FALSE(registry_.add(kRequest, makeForwarded(), makeClient()));
-    EXPECT_EQ(registry_.client(kRequest), client_);
+    EXPECT_FALSE(registry.add(kRequest, makeForwarded(), makeClient()));
+    EXPECT_EQ(registry.client(kRequest), client);
 }
 
 TEST_F(RequestRegistryTest, ReleasesClientOnce) {
     ASSERT_TRUE(addRequest());
-    EXPECT_EQ(registry_.releaseClient(kRequest), client_);
-    EXPECT_EQ(registry_.client(kRequest), nullptr);
-    EXPECT_EQ(registry_.releaseClient(kRequest), nullptr);
+    EXPECT_EQ(registry.releaseClient(kRequest), client);
+    EXPECT_EQ(registry.client(kRequest), nullptr);
+    EXPECT_EQ(registry.releaseClient(kRequest), nullptr);
 }
 
 TEST_F(RequestRegistryTest, NumbersAttemptsOfRequestFromZero) {
@@ -70,11 +70,11 @@
     const AttemptId first = startAttempt(kEndpoint);
     const AttemptId second = startAttempt(EndpointId{"other"});
     EXPECT_NE(first, second);
-    EXPECT_EQ(registry_.attempt(kRequest, 0), first);
-    EXPECT_EQ(registry_.attempt(kRequest, 1), second);
-    EXPECT_EQ(registry_.attempt(kRequest, 2), AttemptId::none);
-    EXPECT_EQ(registry_.attempts(kRequest), (std::vector<AttemptId>{first, second}));
-    const auto ended = registry_.endAttempt(second);
+    EXPECT_EQ(registry.attempt(kRequest, 0), first);
+    EXPECT_EQ(registry.attempt(kRequest, 1), second);
+    EXPECT_EQ(registry.attempt(kRequest, 2), AttemptId::none);
+    EXPECT_EQ(registry.attempts(kRequest), (std::vector<AttemptId>{first, second}));
+    const auto ended = registry.endAttempt(second);
     ASSERT_TRUE(ended);
     EXPECT_EQ(ended->request, kRequest);
     EXPECT_EQ(ended->endpoint, EndpointId{"other"});
@@ -84,55 +84,55 @@
 TEST_F(RequestRegistryTest, KeepsNumbersOfEndedAttempts) {
     ASSERT_TRUE(addRequest());
     const AttemptId first = startAttempt(kEndpoint);
-    ASSERT_TRUE(registry_.endAttempt(first));
+    ASSERT_TRUE(registry.endAttempt(first));
     const AttemptId second = startAttempt(kEndpoint);
-    EXPECT_EQ(registry_.attempt(kRequest, 0), first);
-    EXPECT_EQ(registry_.attempt(kRequest, 1), second);
+    EXPECT_EQ(registry.attempt(kRequest, 0), first);
+    EXPECT_EQ(registry.attempt(kRequest, 1), second);
 }
 
 TEST_F(RequestRegistryTest, ReportsAtEndOfAttemptWhetherClientWaits) {
     ASSERT_TRUE(addRequest());
     const AttemptId first = startAttempt(kEndpoint);
     const AttemptId second = startAttempt(kEndpoint);
-    EXPECT_TRUE(registry_.endAttempt(first)->isClientWaiting);
-    registry_.releaseClient(kRequest);
-    EXPECT_FALSE(registry_.startAttempt(kRequest, kEndpoint)->client);
-    EXPECT_FALSE(registry_.endAttempt(second)->isClientWaiting);
+    EXPECT_TRUE(registry.endAttempt(first)->isClientWaiting);
+    registry.releaseClient(kRequest);
+    EXPECT_FALSE(registry.startAttempt(kRequest, kEndpoint)->client);
+    EXPECT_FALSE(registry.endAttempt(second)->isClientWaiting);
 }
 
 TEST_F(RequestRegistryTest, EndsAttemptOnce) {
     ASSERT_TRUE(addRequest());
     const AttemptId attempt = startAttempt(kEndpoint);
-    EXPECT_EQ(registry_.requestOf(attempt), kRequest);
-    EXPECT_TRUE(registry_.endAttempt(attempt));
-    EXPECT_EQ(registry_.requestOf(attempt), std::nullopt);
-    EXPECT_FALSE(registry_.endAttempt(attempt));
+    EXPECT_EQ(registry.requestOf(attempt), kRequest);
+    EXPECT_TRUE(registry.endAttempt(attempt));
+    EXPECT_EQ(registry.requestOf(attempt), std::nullopt);
+    EXPECT_FALSE(registry.endAttempt(attempt));
 }
 
 TEST_F(RequestRegistryTest, KeepsRequestWhileClientWaits) {
     ASSERT_TRUE(addRequest());
-    registry_.removeIfComplete(kRequest);
-    EXPECT_EQ(registry_.client(kRequest), client_);
+    registry.removeIfComplete(kRequest);
+    EXPECT_EQ(registry.client(kRequest), client);
 }
 
 TEST_F(RequestRegistryTest, KeepsRequestWhileAttemptIsInFlight) {
     ASSERT_TRUE(addRequest());
     const AttemptId first = startAttempt(kEndpoint);
     const AttemptId second = startAttempt(kEndpoint);
-    registry_.releaseClient(kRequest);
-    registry_.endAttempt(first);
-    registry_.removeIfComplete(kRequest);
+    registry.releaseClient(kRequest);
+    registry.endAttempt(first);
+    registry.removeIfComplete(kRequest);
     EXPECT_FALSE(addRequest());
-    registry_.endAttempt(second);
-    registry_.removeIfComplete(kRequest);
+    registry.endAttempt(second);
+    registry.removeIfComplete(kRequest);
     EXPECT_TRUE(addRequest());
 }
 
 TEST_F(RequestRegistryTest, FreesIdOfCompleteRequest) {
     ASSERT_TRUE(addRequest());
-    registry_.releaseClient(kRequest);
-    registry_.removeIfComplete(kRequest);
-    EXPECT_FALSE(registry_.startAttempt(kRequest, kEndpoint));
+    registry.releaseClient(kRequest);
+    registry.removeIfComplete(kRequest);
+    EXPECT_FALSE(registry.startAttempt(kRequest, kEndpoint));
     EXPECT_TRUE(addRequest());
 }
 
--- a/tests/net/transport/backoff_test.cpp
+++ b/tests/net/transport/backoff_test.cpp
@@ -19,14 +19,14 @@
     static Duration longestWaitAfter(int growthSteps) {
         Duration longest{};
         for (int seed = 0; seed < kDraws; ++seed) {
-            Backoff backoff(kInitialBound, kMaxBound, static_cast<std::uint64_t>(seed));
-            for (int i = 0; i < growthSteps; ++i) backoff.next();
-            longest = std::max(longest, backoff.next());
+            Backoff drawn(kInitialBound, kMaxBound, static_cast<std::uint64_t>(seed));
+            for (int i = 0; i < growthSteps; ++i) drawn.next();
+            longest = std::max(longest, drawn.next());
         }
         return longest;
     }
 
-    Backoff backoff_{kInitialBound, kMaxBound, 1};
+    Backoff backoff{kInitialBound, kMaxBound, 1};
 };
 
 TEST_F(BackoffTest, DoublesBoundUpToMax) {
@@ -40,33 +40,33 @@
 }
 
 TEST_F(BackoffTest, WaitsAreAboveZero) {
-    for (int i = 0; i < kDraws; ++i) EXPECT_GT(backoff_.next(), Duration::zero());
+    for (int i = 0; i < kDraws; ++i) EXPECT_GT(backoff.next(), Duration::zero());
 }
 
 TEST_F(BackoffTest, ResetReturnsToInitialBound) {
     for (int i = 0; i < kDraws; ++i) {
-        backoff_.next();
-        backoff_.next();
-        backoff_.reset();
-        EXPECT_LE(backoff_.next(), kInitialBound);
-        backoff_.reset();
+        backoff.next();
+        backoff.next();
+        backoff.reset();
+        EXPECT_LE(backoff.next(), kInitialBound);
+        backoff.reset();
     }
 }
 
 TEST_F(BackoffTest, DrawWithinBoundDoesNotGrow) {
     for (int i = 0; i < kDraws; ++i) {
-        const Duration wait = backoff_.within(Duration(3));
+        const Duration wait = backoff.within(Duration(3));
         EXPECT_GE(wait, Duration(1));
         EXPECT_LE(wait, Duration(3));
     }
-    EXPECT_LE(backoff_.next(), kInitialBound);
-    EXPECT_EQ(backoff_.within(Duration::zero()), Duration::zero());
-    EXPECT_EQ(backoff_.within(Duration(-1)), Duration::zero());
+    EXPECT_LE(backoff.next(), kInitialBound);
+    EXPECT_EQ(backoff.within(Duration::zero()), Duration::zero());
+    EXPECT_EQ(backoff.within(Duration(-1)), Duration::zero());
 }
 
 TEST_F(BackoffTest, SameSeedDrawsSameWaits) {
     Backoff other(kInitialBound, kMaxBound, 1);
-    for (int i = 0; i < kDraws; ++i) EXPECT_EQ(backoff_.next(), other.next());
+    for (int i = 0; i < kDraws; ++i) EXPECT_EQ(backoff.next(), other.next());
 }
 
 }  // namespace
--- a/tests/net/transport/loopback_fixture.h
+++ b/tests/net/transport/loopback_fixture.h
@@ -14,18 +14,17 @@
 #include <string_view>
 #include <vector>
 
+#include "net/transport/tcp_connection.h"
 #include "net/transport/timer_queue.h"
 
 namespace gateway::net::test {
 
 class LoopbackFixture : public ::testing::Test {
 protected:
-    using tcp = boost::asio::ip::tcp;
-
-    tcp::endpoint address() const { return acceptor_.local_endpoint(); }
+    tcp::endpoint address() const { return acceptor.local_endpoint(); }
 
     // Accepts one connection. Blocks until one has been started.
-    tcp::socket accept() { return acceptor_.accept(); }
+    tcp::socket accept() { return acceptor.accept(); }
 
     static void write(tcp::socket& peer, std::string_view bytes) {
         boost::asio::write(peer, boost::asio::buffer(bytes));
@@ -57,14 +56,14 @@
         const SteadyTimePoint deadline = std::chrono::steady_clock::now() + std::chrono::seconds(20);
         while (!isDone()) {
             ASSERT_LT(std::chrono::steady_clock::now(), deadline);
-            ioContext_.run_one_for(std::chrono::milliseconds(1));
-            ioContext_.restart();
+            ioContext.run_one_for(std::chrono::milliseconds(1));
+            ioContext.restart();
         }
     }
 
-    boost::asio::io_context ioContext_;
-    TimerQueue timers_{ioContext_};
-    tcp::acceptor acceptor_{ioContext_, tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0)};
+    boost::asio::io_context ioContext;
+    TimerQueue timers{ioContext};
+    tcp::acceptor acceptor{ioContext, tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0)};
 };
 
 }  // namespace gateway::net::test
--- a/tests/net/transport/tcp_connection_test.cpp
+++ b/tests/net/transport/tcp_connection_test.cpp
@@ -50,143 +50,143 @@
     using Calls = std::vector<std::string>;
 
     void connect(Duration limit = seconds(20), const ReclaimDescriptor& reclaimDescriptor = {}) {
-        connection_->connect(address(), timers_, limit, reclaimDescriptor);
+        connection->connect(address(), timers, limit, reclaimDescriptor);
     }
 
     void connectAndAccept() {
         connect();
-        peer_ = accept();
-        runUntil([&] { return connection_->isOpen(); });
-        connection_->calls.clear();
+        peer = accept();
+        runUntil([&] { return connection->isOpen(); });
+        connection->calls.clear();
     }
 
-    bool isClosed() const { return !connection_->calls.empty() && connection_->calls.back() == "closed"; }
+    bool isClosed() const { return !connection->calls.empty() && connection->calls.back() == "closed"; }
 
-    std::shared_ptr<RecordingConnection> connection_ = std::make_shared<RecordingConnection>(ioContext_);
-    tcp::socket peer_{ioContext_};
+    std::shared_ptr<RecordingConnection> connection = std::make_shared<RecordingConnection>(ioContext);
+    tcp::socket peer{ioContext};
 };
 
 TEST_F(TcpConnectionTest, ReportsConnectionOnceItIsUp) {
     connect();
-    EXPECT_TRUE(connection_->calls.empty());
-    EXPECT_FALSE(connection_->isOpen());
-    runUntil([&] { return connection_->isOpen(); });
-    EXPECT_EQ(connection_->calls, (Calls{"connected"}));
-    EXPECT_FALSE(connection_->lacksDescriptor());
+    EXPECT_TRUE(connection->calls.empty());
+    EXPECT_FALSE(connection->isOpen());
+    runUntil([&] { return connection->isOpen(); });
+    EXPECT_EQ(connection->calls, (Calls{"connected"}));
+    EXPECT_FALSE(connection->lacksDescriptor());
 }
 
 TEST_F(TcpConnectionTest, ReportsRefusedConnectionAsClosed) {
     const tcp::endpoint refusing = address();
-    acceptor_.close();
-    connection_->connect(refusing, timers_, seconds(20));
-    EXPECT_TRUE(connection_->calls.empty());
+    acceptor.close();
+    connection->connect(refusing, timers, seconds(20));
+    EXPECT_TRUE(connection->calls.empty());
     runUntil([&] { return isClosed(); });
-    EXPECT_EQ(connection_->calls, (Calls{"closed"}));
-    EXPECT_FALSE(connection_->lacksDescriptor());
+    EXPECT_EQ(connection->calls, (Calls{"closed"}));
+    EXPECT_FALSE(connection->lacksDescriptor());
 }
 
 TEST_F(TcpConnectionTest, DoesNotReportOwnClose) {
     connectAndAccept();
-    connection_->close();
-    peer_.close();
-    ioContext_.run_for(milliseconds(20));
-    EXPECT_TRUE(connection_->calls.empty());
-    EXPECT_FALSE(connection_->isOpen());
-    EXPECT_TRUE(connection_->peerHasClosed());
+    connection->close();
+    peer.close();
+    ioContext.run_for(milliseconds(20));
+    EXPECT_TRUE(connection->calls.empty());
+    EXPECT_FALSE(connection->isOpen());
+    EXPECT_TRUE(connection->peerHasClosed());
 }
 
 TEST_F(TcpConnectionTest, ReadsInput) {
     connectAndAccept();
-    EXPECT_TRUE(connection_->isQuiet());
-    write(peer_, "hello");
-    runUntil([&] { return !connection_->calls.empty(); });
-    EXPECT_EQ(connection_->received(), "hello");
-    EXPECT_TRUE(connection_->hasInput());
-    EXPECT_FALSE(connection_->isQuiet());
+    EXPECT_TRUE(connection->isQuiet());
+    write(peer, "hello");
+    runUntil([&] { return !connection->calls.empty(); });
+    EXPECT_EQ(connection->received(), "hello");
+    EXPECT_TRUE(connection->hasInput());
+    EXPECT_FALSE(connection->isQuiet());
 }
 
 TEST_F(TcpConnectionTest, FindsBytesAndEndThatAreNotReadYet) {
     connectAndAccept();
-    write(peer_, "x");
-    while (!connection_->hasInput()) {
+    write(peer, "x");
+    while (!connection->hasInput()) {
     }
-    EXPECT_FALSE(connection_->peerHasClosed());
-    peer_.shutdown(tcp::socket::shutdown_send);
-    while (!connection_->peerHasClosed()) {
+    EXPECT_FALSE(connection->peerHasClosed());
+    peer.shutdown(tcp::socket::shutdown_send);
+    while (!connection->peerHasClosed()) {
     }
-    EXPECT_TRUE(connection_->calls.empty());
-    EXPECT_EQ(connection_->received(), "");
+    EXPECT_TRUE(connection->calls.empty());
+    EXPECT_EQ(connection->received(), "");
 }
 
 TEST_F(TcpConnectionTest, ReportsInputBeforePeersEnd) {
     connectAndAccept();
-    write(peer_, "x");
-    peer_.close();
+    write(peer, "x");
+    peer.close();
     runUntil([&] { return isClosed(); });
-    EXPECT_EQ(connection_->calls, (Calls{"received", "closed"}));
+    EXPECT_EQ(connection->calls, (Calls{"received", "closed"}));
 }
 
 TEST_F(TcpConnectionTest, DiscardsInputButReportsPeersEnd) {
     connectAndAccept();
-    connection_->discardInput();
-    EXPECT_TRUE(connection_->dropsInput());
-    write(peer_, "x");
-    peer_.close();
+    connection->discardInput();
+    EXPECT_TRUE(connection->dropsInput());
+    write(peer, "x");
+    peer.close();
     runUntil([&] { return isClosed(); });
-    EXPECT_EQ(connection_->calls, (Calls{"closed"}));
+    EXPECT_EQ(connection->calls, (Calls{"closed"}));
 }
 
 TEST_F(TcpConnectionTest, KeepsEarlierInputWhenItDropsFurtherInput) {
     connectAndAccept();
-    write(peer_, "kept");
-    runUntil([&] { return !connection_->calls.empty(); });
-    connection_->dropFurtherInput();
-    write(peer_, "dropped");
-    peer_.close();
+    write(peer, "kept");
+    runUntil([&] { return !connection->calls.empty(); });
+    connection->dropFurtherInput();
+    write(peer, "dropped");
+    peer.close();
     runUntil([&] { return isClosed(); });
-    EXPECT_EQ(connection_->received(), "kept");
+    EXPECT_EQ(connection->received(), "kept");
 }
 
 TEST_F(TcpConnectionTest, WritesQueuedBytesInOrder) {
     connectAndAccept();
-    connection_->queue("a");
-    EXPECT_EQ(connection_->written(), 0U);
-    EXPECT_FALSE(connection_->allWritten());
-    connection_->send("b");
-    EXPECT_EQ(connection_->written(), 2U);
-    EXPECT_TRUE(connection_->allWritten());
-    EXPECT_EQ(receive(peer_), "ab");
+    connection->queue("a");
+    EXPECT_EQ(connection->written(), 0U);
+    EXPECT_FALSE(connection->allWritten());
+    connection->send("b");
+    EXPECT_EQ(connection->written(), 2U);
+    EXPECT_TRUE(connection->allWritten());
+    EXPECT_EQ(receive(peer), "ab");
 }
 
 TEST_F(TcpConnectionTest, ReportsWhenOutputThatHadToWaitIsWritten) {
     connectAndAccept();
     const std::string output(std::size_t{32} * 1024 * 1024, 'x');  // more than the sockets' buffers hold
-    connection_->send(output);
-    EXPECT_FALSE(connection_->allWritten());
+    connection->send(output);
+    EXPECT_FALSE(connection->allWritten());
     std::size_t receivedBytes = 0;
-    while (receivedBytes < output.size()) receivedBytes += receive(peer_).size();
-    runUntil([&] { return !connection_->calls.empty(); });
-    EXPECT_EQ(connection_->calls, (Calls{"send drained"}));
-    EXPECT_EQ(connection_->written(), output.size());
+    while (receivedBytes < output.size()) receivedBytes += receive(peer).size();
+    runUntil([&] { return !connection->calls.empty(); });
+    EXPECT_EQ(connection->calls, (Calls{"send drained"}));
+    EXPECT_EQ(connection->written(), output.size());
 }
 
 TEST_F(TcpConnectionTest, StaysReadableAfterShutdownOfSending) {
     connectAndAccept();
-    connection_->send("last");
-    connection_->shutdownSend();
-    EXPECT_EQ(receive(peer_), "last");
-    EXPECT_TRUE(isClosedWithoutBytes(peer_));
-    write(peer_, "x");
-    runUntil([&] { return !connection_->calls.empty(); });
-    EXPECT_EQ(connection_->calls, (Calls{"received"}));
+    connection->send("last");
+    connection->shutdownSend();
+    EXPECT_EQ(receive(peer), "last");
+    EXPECT_TRUE(isClosedWithoutBytes(peer));
+    write(peer, "x");
+    runUntil([&] { return !connection->calls.empty(); });
+    EXPECT_EQ(connection->calls, (Calls{"received"}));
 }
 
 TEST_F(TcpConnectionTest, ExceptionOfDerivedClassClosesConnection) {
     connectAndAccept();
-    connection_->throwsOnReceived = true;
-    write(peer_, "x");
+    connection->throwsOnReceived = true;
+    write(peer, "x");
     runUntil([&] { return isClosed(); });
-    EXPECT_FALSE(connection_->isOpen());
+    EXPECT_FALSE(connection->isOpen());
 }
 
 }  // namespace
--- a/tests/net/upstream/attempt_runner_test.cpp
+++ b/tests/net/upstream/attempt_runner_test.cpp
@@ -27,33 +27,33 @@
     };
 
     void SetUp() override {
-        limits_.drainGracePeriod = seconds(1);
-        request_->method = "GET";
-        request_->target = "/path";
-        request_->host = "host";
-        request_->id = "request";
+        limits.drainGracePeriod = seconds(1);
+        request->method = "GET";
+        request->target = "/path";
+        request->host = "host";
+        request->id = "request";
         ResolvedEndpoint listed;
         listed.address = address();
-        endpoint_->update(listed);
+        endpoint->update(listed);
         makeRunner();
     }
 
     void makeRunner() {
         AttemptRunner::Hooks hooks;
         hooks.onEnded = [this](AttemptId id, AttemptResult&& result) {
-            ended_.push_back({id, std::move(result)});
+            ended.push_back({id, std::move(result)});
         };
         hooks.beforeSend = [this](AttemptId id) {
-            if (beforeSend_) beforeSend_(id);
+            if (beforeSend) beforeSend(id);
         };
-        hooks.isWanted = [this](AttemptId) { return isWanted_; };
-        runner_.emplace(ioContext_, timers_, idle_, limits_, std::move(hooks));
+        hooks.isWanted = [this](AttemptId) { return isWanted; };
+        runner.emplace(ioContext, timers, idle, limits, std::move(hooks));
     }
 
     AttemptId start() {
-        ++lastAttempt_;
-        const AttemptId id{lastAttempt_};
-        runner_->start(id, endpoint_, options_, request_);
+        ++lastAttempt;
+        const AttemptId id{lastAttempt};
+        runner->start(id, endpoint, options, request);
         return id;
     }
 
@@ -66,60 +66,60 @@
     }
 
     void respond(tcp::socket& peer, std::string_view response = kResponse) {
-        const std::size_t endedBefore = ended_.size();
+        const std::size_t endedBefore = ended.size();
         write(peer, response);
-        runUntil([&] { return ended_.size() > endedBefore; });
+        runUntil([&] { return ended.size() > endedBefore; });
     }
 
     Outcome waitForOutcome() {
-        runUntil([&] { return !ended_.empty(); });
-        return ended_.empty() ? Outcome::ok : ended_.back().result.outcome;
+        runUntil([&] { return !ended.empty(); });
+        return ended.empty() ? Outcome::ok : ended.back().result.outcome;
     }
 
-    std::shared_ptr<ForwardedRequest> request_ = std::make_shared<ForwardedRequest>();
-    std::shared_ptr<UpstreamEndpoint> endpoint_ = std::make_shared<UpstreamEndpoint>(EndpointId{"a"});
-    IdleConnectionPool idle_{timers_, {seconds(60), Duration::zero()}};
-    AttemptRunner::Limits limits_;
-    AttemptRunner::Options options_{seconds(20), Duration::zero()};
-    bool isWanted_ = true;
-    std::function<void(AttemptId)> beforeSend_;
-    std::vector<Ended> ended_;
-    std::uint64_t lastAttempt_ = 0;
-    std::optional<AttemptRunner> runner_;
+    std::shared_ptr<ForwardedRequest> request = std::make_shared<ForwardedRequest>();
+    std::shared_ptr<UpstreamEndpoint> endpoint = std::make_shared<UpstreamEndpoint>(EndpointId{"a"});
+    IdleConnectionPool idle{timers, {seconds(60), Duration::zero()}};
+    AttemptRunner::Limits limits;
+    AttemptRunner::Options options{seconds(20), Duration::zero()};
+    bool isWanted = true;
+    std::function<void(AttemptId)> beforeSend;
+    std::vector<Ended> ended;
+    std::uint64_t lastAttempt = 0;
+    std::optional<AttemptRunner> runner;
 };
 
 // ---- Attempts that end at once --------------------------------------------------------------------
 
 TEST_F(AttemptRunnerTest, EndsAtOnceIfEndpointIsNotListed) {
-    endpoint_ = nullptr;
+    endpoint = nullptr;
     const AttemptId id = start();
-    ASSERT_EQ(ended_.size(), 1U);
-    EXPECT_EQ(ended_[0].id, id);
-    EXPECT_EQ(ended_[0].result.outcome, Outcome::notSent);
+    ASSERT_EQ(ended.size(), 1U);
+    EXPECT_EQ(ended[0].id, id);
+    EXPECT_EQ(ended[0].result.outcome, Outcome::notSent);
 }
 
 TEST_F(AttemptRunnerTest, EndsAtOnceIfNoTimeIsLeft) {
-    options_.timeout = Duration::zero();
+    options.timeout = Duration::zero();
     start();
-    ASSERT_EQ(ended_.size(), 1U);
-    EXPECT_EQ(ended_[0].result.outcome, Outcome::notSent);
+    ASSERT_EQ(ended.size(), 1U);
+    EXPECT_EQ(ended[0].result.outcome, Outcome::notSent);
 }
 
 TEST_F(AttemptRunnerTest, EndsAtOnceIfDrainGracePeriodIsOver) {
-    endpoint_->startDraining(steady_clock::now() - limits_.drainGracePeriod);
+    endpoint->startDraining(steady_clock::now() - limits.drainGracePeriod);
     start();
-    ASSERT_EQ(ended_.size(), 1U);
-    EXPECT_EQ(ended_[0].result.outcome, Outcome::notSent);
+    ASSERT_EQ(ended.size(), 1U);
+    EXPECT_EQ(ended[0].result.outcome, Outcome::notSent);
 }
 
 TEST_F(AttemptRunnerTest, EndsAtOnceIfEveryConnectionIsInUse) {
-    limits_.connections = 1;
+    limits.connections = 1;
     makeRunner();
     const tcp::socket peer = startAndReceive();
     const AttemptId second = start();
-    ASSERT_EQ(ended_.size(), 1U);
-    EXPECT_EQ(ended_[0].id, second);
-    EXPECT_EQ(ended_[0].result.outcome, Outcome::notSent);
+    ASSERT_EQ(ended.size(), 1U);
+    EXPECT_EQ(ended[0].id, second);
+    EXPECT_EQ(ended[0].result.outcome, Outcome::notSent);
 }
 
 // ---- Requests and responses -----------------------------------------------------------------------
@@ -132,17 +132,17 @@
               0U);
     EXPECT_EQ(sent.find("Content-Length"), std::string::npos);
     respond(peer);
-    ASSERT_EQ(ended_.size(), 1U);
-    EXPECT_EQ(ended_[0].id, id);
-    EXPECT_EQ(ended_[0].result.outcome, Outcome::ok);
-    EXPECT_EQ(ended_[0].result.body, "hi");
-    EXPECT_GT(ended_[0].result.elapsed, Duration::zero());
+    ASSERT_EQ(ended.size(), 1U);
+    EXPECT_EQ(ended[0].id, id);
+    EXPECT_EQ(ended[0].result.outcome, Outcome::ok);
+    EXPECT_EQ(ended[0].result.body, "hi");
+    EXPECT_GT(ended[0].result.elapsed, Duration::zero());
 }
 
 TEST_F(AttemptRunnerTest, SendsBodyAndIdempotencyKey) {
-    request_->method = "POST";
-    request_->idempotencyKey = "key";
-    request_->body = "body";
+    request->method = "POST";
+    request->idempotencyKey = "key";
+    request->body = "body";
     start();
     tcp::socket peer = accept();
     const std::string sent = receive(peer);
@@ -152,20 +152,20 @@
 TEST_F(AttemptRunnerTest, PassesOverInterimResponses) {
     tcp::socket peer = startAndReceive();
     respond(peer, "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi");
-    EXPECT_EQ(ended_[0].result.outcome, Outcome::ok);
-    EXPECT_EQ(ended_[0].result.body, "hi");
+    EXPECT_EQ(ended[0].result.outcome, Outcome::ok);
+    EXPECT_EQ(ended[0].result.body, "hi");
 }
 
 TEST_F(AttemptRunnerTest, EndsAsResetOnMalformedResponse) {
     tcp::socket peer = startAndReceive();
     respond(peer, "no HTTP\r\n\r\n");
-    EXPECT_EQ(ended_[0].result.outcome, Outcome::reset);
+    EXPECT_EQ(ended[0].result.outcome, Outcome::reset);
 }
 
 TEST_F(AttemptRunnerTest, EndsAsResetOnUnterminatedResponse) {
     tcp::socket peer = startAndReceive();
     respond(peer, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nh");
-    EXPECT_EQ(ended_[0].result.outcome, Outcome::reset);
+    EXPECT_EQ(ended[0].result.outcome, Outcome::reset);
 }
 
 TEST_F(AttemptRunnerTest, EndsAsResetWhenConnectionEndsAfterRequest) {
@@ -175,13 +175,13 @@
 }
 
 TEST_F(AttemptRunnerTest, EndsAsConnectFailedWhenConnectionIsRefused) {
-    acceptor_.close();
+    acceptor.close();
     start();
     EXPECT_EQ(waitForOutcome(), Outcome::connectFailed);
 }
 
 TEST_F(AttemptRunnerTest, EndsAsTimedOutWithoutResponse) {
-    options_.timeout = milliseconds(50);
+    options.timeout = milliseconds(50);
     const tcp::socket peer = startAndReceive();
     EXPECT_EQ(waitForOutcome(), Outcome::timedOut);
 }
@@ -189,7 +189,7 @@
 // ---- Between connecting and sending ---------------------------------------------------------------
 
 TEST_F(AttemptRunnerTest, DoesNotSendUnwantedAttempt) {
-    isWanted_ = false;
+    isWanted = false;
     start();
     tcp::socket peer = accept();
     EXPECT_EQ(waitForOutcome(), Outcome::notSent);
@@ -197,24 +197,24 @@
 }
 
 TEST_F(AttemptRunnerTest, DoesNotSendAttemptThatIsCancelledBeforeSend) {
-    beforeSend_ = [this](AttemptId id) { runner_->cancel(id); };
+    beforeSend = [this](AttemptId id) { runner->cancel(id); };
     start();
     tcp::socket peer = accept();
     EXPECT_TRUE(isClosedWithoutBytes(peer));
-    ASSERT_EQ(ended_.size(), 1U);
-    EXPECT_EQ(ended_[0].result.outcome, Outcome::notSent);
+    ASSERT_EQ(ended.size(), 1U);
+    EXPECT_EQ(ended[0].result.outcome, Outcome::notSent);
 }
 
 TEST_F(AttemptRunnerTest, DoesNotSendIfDrainGracePeriodEndsWhileConnecting) {
     start();
-    endpoint_->startDraining(steady_clock::now() - limits_.drainGracePeriod);
+    endpoint->startDraining(steady_clock::now() - limits.drainGracePeriod);
     tcp::socket peer = accept();
     EXPECT_EQ(waitForOutcome(), Outcome::notSent);
     EXPECT_TRUE(isClosedWithoutBytes(peer));
 }
 
 TEST_F(AttemptRunnerTest, DoesNotSendIfStartDeadlinePassesWhileConnecting) {
-    options_.startWithin = Duration(1);
+    options.startWithin = Duration(1);
     start();
     tcp::socket peer = accept();
     EXPECT_EQ(waitForOutcome(), Outcome::notSent);
@@ -225,20 +225,20 @@
 
 TEST_F(AttemptRunnerTest, CancelsAttemptThatWasSent) {
     const tcp::socket peer = startAndReceive();
-    runner_->cancelUnsent(AttemptId{1});
-    EXPECT_TRUE(ended_.empty());
-    runner_->cancel(AttemptId{1});
-    ASSERT_EQ(ended_.size(), 1U);
-    EXPECT_EQ(ended_[0].result.outcome, Outcome::cancelled);
-    runner_->cancel(AttemptId{1});
-    EXPECT_EQ(ended_.size(), 1U);
+    runner->cancelUnsent(AttemptId{1});
+    EXPECT_TRUE(ended.empty());
+    runner->cancel(AttemptId{1});
+    ASSERT_EQ(ended.size(), 1U);
+    EXPECT_EQ(ended[0].result.outcome, Outcome::cancelled);
+    runner->cancel(AttemptId{1});
+    EXPECT_EQ(ended.size(), 1U);
 }
 
 TEST_F(AttemptRunnerTest, CancelsUnsentAttemptAsNotSent) {
     const AttemptId id = start();
-    runner_->cancelUnsent(id);
-    ASSERT_EQ(ended_.size(), 1U);
-    EXPECT_EQ(ended_[0].result.outcome, Outcome::notSent);
+    runner->cancelUnsent(id);
+    ASSERT_EQ(ended.size(), 1U);
+    EXPECT_EQ(ended[0].result.outcome, Outcome::notSent);
 }
 
 // ---- Idle connections -----------------------------------------------------------------------------
@@ -251,25 +251,25 @@
 }
 
 TEST_F(AttemptRunnerTest, EvictsIdleConnectionOfAnotherEndpointForNewOne) {
-    limits_.connections = 1;
+    limits.connections = 1;
     makeRunner();
     tcp::socket peer = startAndReceive();
     respond(peer);
-    const tcp::endpoint address = endpoint_->address();
-    endpoint_ = std::make_shared<UpstreamEndpoint>(EndpointId{"b"});
+    const tcp::endpoint address = endpoint->address();
+    endpoint = std::make_shared<UpstreamEndpoint>(EndpointId{"b"});
     ResolvedEndpoint listed;
     listed.address = address;
-    endpoint_->update(listed);
+    endpoint->update(listed);
     const tcp::socket otherPeer = startAndReceive();
     EXPECT_TRUE(isClosedWithoutBytes(peer));
-    EXPECT_EQ(ended_.size(), 1U);
+    EXPECT_EQ(ended.size(), 1U);
 }
 
 TEST_F(AttemptRunnerTest, ClosesConnectionAfterResponseOfDrainingEndpoint) {
     tcp::socket peer = startAndReceive();
-    endpoint_->startDraining(steady_clock::now());
+    endpoint->startDraining(steady_clock::now());
     respond(peer);
-    EXPECT_EQ(ended_[0].result.outcome, Outcome::ok);
+    EXPECT_EQ(ended[0].result.outcome, Outcome::ok);
     EXPECT_TRUE(isClosedWithoutBytes(peer));
 }
 
@@ -278,7 +278,7 @@
     respond(peer);
     write(peer, kResponse);
     EXPECT_TRUE(isClosedWithoutBytes(peer));
-    EXPECT_EQ(idle_.take(*endpoint_), nullptr);
+    EXPECT_EQ(idle.take(*endpoint), nullptr);
 }
 
 TEST_F(AttemptRunnerTest, ClosesIdleConnectionsWhenNoResponseComesDuringTimedOutAttempt) {
@@ -286,12 +286,12 @@
     tcp::socket second = startAndReceive();
     respond(first);
     respond(second);
-    options_.timeout = milliseconds(50);
+    options.timeout = milliseconds(50);
     start();
     receive(second);
-    EXPECT_EQ(ended_.size(), 2U);
-    runUntil([&] { return ended_.size() == 3U; });
-    EXPECT_EQ(ended_[2].result.outcome, Outcome::timedOut);
+    EXPECT_EQ(ended.size(), 2U);
+    runUntil([&] { return ended.size() == 3U; });
+    EXPECT_EQ(ended[2].result.outcome, Outcome::timedOut);
     EXPECT_TRUE(isClosedWithoutBytes(first));
 }
 
--- a/tests/net/upstream/upstream_endpoint_table_test.cpp
+++ b/tests/net/upstream/upstream_endpoint_table_test.cpp
@@ -10,8 +10,6 @@
 namespace gateway::net {
 namespace {
 
-using boost::asio::ip::tcp;
-
 class UpstreamEndpointTableTest : public ::testing::Test {
 protected:
     static constexpr std::uint16_t kPort = 7070;
@@ -28,16 +26,16 @@
         EndpointList list;
         list.isSnapshot = isSnapshot;
         list.endpoints = std::move(endpoints);
-        table_.update(list);
+        table.update(list);
     }
 
     std::shared_ptr<UpstreamEndpoint> find(const std::string& name) const {
-        return table_.find(EndpointId{name});
+        return table.find(EndpointId{name});
     }
 
-    std::vector<std::string> closedIdle_;  // endpoints whose idle connections were to be closed
-    UpstreamEndpointTable table_{
-        [this](const UpstreamEndpoint& endpoint) { closedIdle_.push_back(endpoint.id().value()); }};
+    std::vector<std::string> closedIdle;  // endpoints whose idle connections were to be closed
+    UpstreamEndpointTable table{
+        [this](const UpstreamEndpoint& endpoint) { closedIdle.push_back(endpoint.id().value()); }};
 };
 
 TEST_F(UpstreamEndpointTableTest, FindsListedEndpointsOnly) {
@@ -82,26 +80,26 @@
 
 TEST_F(UpstreamEndpointTableTest, ClosesIdleConnectionsOfDrainingOrRemovedEndpoint) {
     update({listed("a"), listed("b"), listed("c")}, true);
-    closedIdle_.clear();
+    closedIdle.clear();
     update({listed("a", Availability::draining), listed("b", Availability::removed)});
-    EXPECT_EQ(closedIdle_, (std::vector<std::string>{"a", "b"}));
-    closedIdle_.clear();
+    EXPECT_EQ(closedIdle, (std::vector<std::string>{"a", "b"}));
+    closedIdle.clear();
     update({listed("a", Availability::draining)}, true);
-    EXPECT_EQ(closedIdle_, (std::vector<std::string>{"c", "a"}));
+    EXPECT_EQ(closedIdle, (std::vector<std::string>{"c", "a"}));
 }
 
 TEST_F(UpstreamEndpointTableTest, ClosesIdleConnectionsOfRestartedOrMovedEndpoint) {
     update({listed("a")});
-    closedIdle_.clear();
+    closedIdle.clear();
     update({listed("a")});
-    EXPECT_TRUE(closedIdle_.empty());
+    EXPECT_TRUE(closedIdle.empty());
     ResolvedEndpoint restarted = listed("a");
     restarted.entry.startedAt = TimePoint(std::chrono::seconds(5));
     update({restarted});
-    EXPECT_EQ(closedIdle_, (std::vector<std::string>{"a"}));
+    EXPECT_EQ(closedIdle, (std::vector<std::string>{"a"}));
     restarted.address.port(kPort + 1);
     update({restarted});
-    EXPECT_EQ(closedIdle_, (std::vector<std::string>{"a", "a"}));
+    EXPECT_EQ(closedIdle, (std::vector<std::string>{"a", "a"}));
     EXPECT_EQ(find("a")->address().port(), kPort + 1);
 }
 
@@ -117,24 +115,24 @@
 protected:
     static constexpr Duration kGracePeriod = std::chrono::seconds(2);
 
-    const SteadyTimePoint now_ = std::chrono::steady_clock::now();
-    UpstreamEndpoint endpoint_{EndpointId{"a"}};
+    const SteadyTimePoint now = std::chrono::steady_clock::now();
+    UpstreamEndpoint endpoint{EndpointId{"a"}};
 };
 
 TEST_F(UpstreamEndpointTest, AcceptsAttemptsWhileItIsNotDraining) {
-    EXPECT_TRUE(endpoint_.acceptsAttempts(now_, Duration::zero()));
+    EXPECT_TRUE(endpoint.acceptsAttempts(now, Duration::zero()));
 }
 
 TEST_F(UpstreamEndpointTest, AcceptsAttemptsUntilItsGracePeriodIsOver) {
-    endpoint_.startDraining(now_);
-    EXPECT_TRUE(endpoint_.acceptsAttempts(now_ + kGracePeriod - Duration(1), kGracePeriod));
-    EXPECT_FALSE(endpoint_.acceptsAttempts(now_ + kGracePeriod, kGracePeriod));
+    endpoint.startDraining(now);
+    EXPECT_TRUE(endpoint.acceptsAttempts(now + kGracePeriod - Duration(1), kGracePeriod));
+    EXPECT_FALSE(endpoint.acceptsAttempts(now + kGracePeriod, kGracePeriod));
 }
 
 TEST_F(UpstreamEndpointTest, CountsGracePeriodFromFirstStartOfDraining) {
-    endpoint_.startDraining(now_);
-    endpoint_.startDraining(now_ + kGracePeriod);
-    EXPECT_FALSE(endpoint_.acceptsAttempts(now_ + kGracePeriod, kGracePeriod));
+    endpoint.startDraining(now);
+    endpoint.startDraining(now + kGracePeriod);
+    EXPECT_FALSE(endpoint.acceptsAttempts(now + kGracePeriod, kGracePeriod));
 }
 
 }  // namespace
--- a/tests/net/upstream/upstream_response_test.cpp
+++ b/tests/net/upstream/upstream_response_test.cpp
@@ -13,19 +13,19 @@
 class UpstreamResponseTest : public ::testing::Test {
 protected:
     AttemptResult resultOf(http::status status) {
-        response_.result(status);
-        return readAttemptResult(response_);
+        response.result(status);
+        return readAttemptResult(response);
     }
 
-    HttpResponse response_;
+    HttpResponse response;
 };
 
 TEST_F(UpstreamResponseTest, ReadsSuccessWithItsHeadersAndBody) {
-    response_.set("Content-Type", "text/plain");
-    response_.set("Server-Load", "inflight=7,queue=2");
-    response_.set("X-Meter", "62.5");
-    response_.set("X-Settled", "3");
-    response_.body() = "content";
+    response.set("Content-Type", "text/plain");
+    response.set("Server-Load", "inflight=7,queue=2");
+    response.set("X-Meter", "62.5");
+    response.set("X-Settled", "3");
+    response.body() = "content";
     const AttemptResult result = resultOf(http::status::ok);
     EXPECT_EQ(result.outcome, Outcome::ok);
     ASSERT_TRUE(result.report);
@@ -37,9 +37,9 @@
 }
 
 TEST_F(UpstreamResponseTest, ReadsLoadButNoCostAndBodyOfError) {
-    response_.set("Server-Load", "rif=4");
-    response_.set("X-Settled", "3");
-    response_.body() = "content";
+    response.set("Server-Load", "rif=4");
+    response.set("X-Settled", "3");
+    response.body() = "content";
     const AttemptResult result = resultOf(http::status::internal_server_error);
     EXPECT_EQ(result.outcome, Outcome::error);
     ASSERT_TRUE(result.report);
@@ -54,20 +54,20 @@
 }
 
 TEST_F(UpstreamResponseTest, TreatsNotStartedAsRejectedOnUnavailableAndGatewayTimeoutOnly) {
-    response_.set("Not-Started", "1");
+    response.set("Not-Started", "1");
     EXPECT_EQ(resultOf(http::status::service_unavailable).outcome, Outcome::rejected);
     EXPECT_EQ(resultOf(http::status::gateway_timeout).outcome, Outcome::rejected);
     EXPECT_EQ(resultOf(http::status::internal_server_error).outcome, Outcome::error);
-    response_.set("Not-Started", "0");
+    response.set("Not-Started", "0");
     EXPECT_EQ(resultOf(http::status::service_unavailable).outcome, Outcome::error);
 }
 
 TEST_F(UpstreamResponseTest, IgnoresOtherItemsOfLoadReport) {
-    response_.set("Server-Load", "queue=2, rif=4, cpu");
+    response.set("Server-Load", "queue=2, rif=4, cpu");
     const AttemptResult result = resultOf(http::status::ok);
     ASSERT_TRUE(result.report);
     EXPECT_EQ(result.report->inFlight, 4);
-    response_.set("Server-Load", "queue=2");
+    response.set("Server-Load", "queue=2");
     EXPECT_FALSE(resultOf(http::status::ok).report);
 }
 
@@ -75,9 +75,9 @@
                                    public ::testing::WithParamInterface<const char*> {};
 
 TEST_P(UpstreamResponseNumberTest, CountsMalformedOrOutOfRangeNumberAsNotReported) {
-    response_.set("X-Meter", GetParam());
-    response_.set("X-Settled", GetParam());
-    response_.set("Server-Load", std::string("inflight=") + GetParam());
+    response.set("X-Meter", GetParam());
+    response.set("X-Settled", GetParam());
+    response.set("Server-Load", std::string("inflight=") + GetParam());
     const AttemptResult result = resultOf(http::status::ok);
     EXPECT_EQ(result.meteredPercent, std::nullopt);
     EXPECT_EQ(result.trueCost, std::nullopt);
