--- a/tests/decision/engine/decision_engine_test.cpp
+++ b/tests/decision/engine/decision_engine_test.cpp
@@ -48,7 +48,7 @@
         const std::size_t before = engine.sends.size();
         engine.request(1, 5, milliseconds(2500), entryPoints);
         for (std::size_t i = before; i < engine.sends.size(); ++i)
-            engine.end(engine.sends[i], static_cast<int>(i - before), Outcome::ok, true);
+            engine.endAttempt(engine.sends[i], static_cast<int>(i - before), Outcome::ok, true);
         return engine.sends.size() - before;
     }
 };
@@ -62,7 +62,7 @@
         forwarded += static_cast<double>(requestOnce(engine, row.entryPoints));
         engine.advance(kInterval);
     }
-    EXPECT_EQ(engine.sends.size() + engine.refusals.size() + engine.fails.size(),
+    EXPECT_EQ(engine.sends.size() + engine.rejections.size() + engine.failures.size(),
               static_cast<std::size_t>(kRequests));
 
     // With the counter's replies one gateway may admit all that the ceiling allows, without them its part.
--- a/tests/decision/engine/endpoint_watch_test.cpp
+++ b/tests/decision/engine/endpoint_watch_test.cpp
@@ -25,32 +25,32 @@
 
 TEST(EndpointWatchTest, StartsOneWatchWhenDiscoveryIsPolled) {
     EngineFixture engine(pollSettings());
-    ASSERT_EQ(engine.others.size(), 1u);
-    EXPECT_TRUE(std::holds_alternative<WatchEndpoints>(engine.others[0]));
+    ASSERT_EQ(engine.otherActions.size(), 1u);
+    EXPECT_TRUE(std::holds_alternative<WatchEndpoints>(engine.otherActions[0]));
 
     EndpointUpdate update;
     update.entries = {EngineFixture::entry("w9")};
-    engine.feed(update);
-    EXPECT_EQ(engine.others.size(), 1u);
+    engine.handle(update);
+    EXPECT_EQ(engine.otherActions.size(), 1u);
 }
 
 TEST(EndpointWatchTest, StartsNoWatchWhenDiscoveryPushes) {
     EngineFixture engine(plainSettings());
-    EXPECT_TRUE(engine.others.empty());
+    EXPECT_TRUE(engine.otherActions.empty());
 }
 
 TEST(EndpointWatchTest, RetriesFailedWatchWithinQuarterOfPollInterval) {
     EngineFixture engine(pollSettings());
-    engine.feed(failedUpdate());
-    EXPECT_EQ(engine.others.size(), 1u);
+    engine.handle(failedUpdate());
+    EXPECT_EQ(engine.otherActions.size(), 1u);
     engine.advance(milliseconds(2'500));
-    ASSERT_EQ(engine.others.size(), 2u);
-    EXPECT_TRUE(std::holds_alternative<WatchEndpoints>(engine.others[1]));
+    ASSERT_EQ(engine.otherActions.size(), 2u);
+    EXPECT_TRUE(std::holds_alternative<WatchEndpoints>(engine.otherActions[1]));
 }
 
 TEST(EndpointWatchTest, KeepsEndpointsAfterFailedUpdate) {
     EngineFixture engine(pollSettings());
-    engine.feed(failedUpdate());
+    engine.handle(failedUpdate());
     engine.request();
     EXPECT_EQ(engine.sends.size(), 1u);
 }
--- a/tests/decision/engine/request_lifecycle_test.cpp
+++ b/tests/decision/engine/request_lifecycle_test.cpp
@@ -31,7 +31,7 @@
 
     EngineFixture& engine() { return *engine_; }
 
-    std::size_t finalAnswers() { return engine().refusals.size() + engine().fails.size(); }
+    std::size_t finalAnswers() { return engine().rejections.size() + engine().failures.size(); }
 
 private:
     std::optional<EngineFixture> engine_;
@@ -42,13 +42,13 @@
 TEST_F(RequestLifecycleTest, FailsNonIdempotentRequestOnceItMayHaveRun) {
     start(withIdempotency(Idempotency::none));
     engine().request();
-    engine().end(engine().sends[0], 0, Outcome::connectFailed, false);
+    engine().endAttempt(engine().sends[0], 0, Outcome::connectFailed, false);
     ASSERT_EQ(engine().sends.size(), 2u) << "an attempt that never ran may be retried";
 
-    engine().end(engine().sends[1], 1, Outcome::reset, false);
+    engine().endAttempt(engine().sends[1], 1, Outcome::reset, false);
     EXPECT_EQ(engine().sends.size(), 2u);
-    EXPECT_EQ(engine().fails.size(), 1u);
-    EXPECT_TRUE(engine().refusals.empty());
+    EXPECT_EQ(engine().failures.size(), 1u);
+    EXPECT_TRUE(engine().rejections.empty());
 }
 
 TEST_F(RequestLifecycleTest, RetriesKeyedRequestWithinItsCell) {
@@ -60,11 +60,11 @@
         engine().request(1, tenant);
         ASSERT_EQ(engine().sends.size(), before + 1);
         const SendAttempt first = engine().sends.back();
-        engine().end(first, 0, Outcome::error, false);
+        engine().endAttempt(first, 0, Outcome::error, false);
         const bool isRetried = engine().sends.size() > before + 1;
         if (!isRetried) continue;  // The request may fail instead.
         EXPECT_EQ(cellOf(engine().sends.back().endpoint), cellOf(first.endpoint));
-        engine().end(engine().sends.back(), 1, Outcome::ok, true);
+        engine().endAttempt(engine().sends.back(), 1, Outcome::ok, true);
     }
 }
 
@@ -72,9 +72,9 @@
     start(keyedWithin(DeduplicationScope::cell, milliseconds(400)));
     engine().request();
     engine().advance(milliseconds(450));
-    engine().end(engine().sends[0], 0, Outcome::error, false);
+    engine().endAttempt(engine().sends[0], 0, Outcome::error, false);
     EXPECT_EQ(engine().sends.size(), 1u);
-    EXPECT_EQ(engine().fails.size(), 1u);
+    EXPECT_EQ(engine().failures.size(), 1u);
 }
 
 // A connection to an endpoint may be established late, so the attempt carries the time that is left of the
@@ -85,12 +85,12 @@
     EXPECT_EQ(engine().sends.at(0).beginWithin, Duration::zero());
 
     engine().advance(milliseconds(150));
-    engine().end(engine().sends[0], 0, Outcome::reset, false);
+    engine().endAttempt(engine().sends[0], 0, Outcome::reset, false);
     ASSERT_EQ(engine().sends.size(), 2u);
     EXPECT_EQ(engine().sends[1].beginWithin, milliseconds(250));
 
     engine().advance(milliseconds(150));
-    engine().end(engine().sends[1], 1, Outcome::connectFailed, false);
+    engine().endAttempt(engine().sends[1], 1, Outcome::connectFailed, false);
     ASSERT_EQ(engine().sends.size(), 3u);
     EXPECT_EQ(engine().sends[2].beginWithin, milliseconds(100));
 }
@@ -101,12 +101,12 @@
     EXPECT_EQ(engine().sends.at(0).beginWithin, Duration::zero());
 
     engine().advance(milliseconds(150));
-    engine().end(engine().sends[0], 0, Outcome::rejected, false);
+    engine().endAttempt(engine().sends[0], 0, Outcome::rejected, false);
     ASSERT_EQ(engine().sends.size(), 2u);
     EXPECT_EQ(engine().sends[1].beginWithin, Duration::zero());
 
     engine().advance(milliseconds(150));
-    engine().end(engine().sends[1], 1, Outcome::connectFailed, false);
+    engine().endAttempt(engine().sends[1], 1, Outcome::connectFailed, false);
     ASSERT_EQ(engine().sends.size(), 3u);
     EXPECT_EQ(engine().sends[2].beginWithin, Duration::zero());
 }
@@ -116,8 +116,8 @@
 TEST_F(RequestLifecycleTest, IgnoresSecondEndOfAttempt) {
     start(plainSettings());
     engine().request();
-    engine().end(engine().sends[0], 0, Outcome::ok, true);
-    engine().end(engine().sends[0], 0, Outcome::ok, true);
+    engine().endAttempt(engine().sends[0], 0, Outcome::ok, true);
+    engine().endAttempt(engine().sends[0], 0, Outcome::ok, true);
     EXPECT_EQ(engine().sends.size(), 1u);
     EXPECT_EQ(finalAnswers(), 0u) << "the endpoint's response is the final answer";
 
@@ -129,21 +129,21 @@
 TEST_F(RequestLifecycleTest, CancelsAttemptWhenClientDisconnects) {
     start(plainSettings());
     const std::string id = engine().request();
-    engine().feed(ClientDisconnected{RequestId(id)});
-    ASSERT_EQ(engine().others.size(), 1u);
-    EXPECT_TRUE(std::holds_alternative<CancelAttempt>(engine().others[0]));
+    engine().handle(ClientDisconnected{RequestId(id)});
+    ASSERT_EQ(engine().otherActions.size(), 1u);
+    EXPECT_TRUE(std::holds_alternative<CancelAttempt>(engine().otherActions[0]));
 
-    engine().end(engine().sends[0], 0, Outcome::cancelled, true);
+    engine().endAttempt(engine().sends[0], 0, Outcome::cancelled, true);
     EXPECT_EQ(finalAnswers(), 0u);
 }
 
 TEST_F(RequestLifecycleTest, AnswersBeforeClientDeadlineWhileCounterDoesNotReply) {
     start(plainSettings());
-    engine().counting = false;
+    engine().isCounterAnswering = false;
     engine().request(1, 5, milliseconds(1));
     engine().request(1, 5, milliseconds(40));
     engine().advance(milliseconds(20));
-    EXPECT_EQ(engine().refusals.size() + engine().sends.size(), 2u);
+    EXPECT_EQ(engine().rejections.size() + engine().sends.size(), 2u);
 }
 
 TEST_F(RequestLifecycleTest, NeitherCancelsNorRetriesStartedStream) {
@@ -151,26 +151,26 @@
     settings.classes[0].streamed = true;
     start(settings);
     const std::string id = engine().request();
-    engine().feed(StreamStarted{RequestId(id), 0, engine().sends[0].endpoint, milliseconds(20)});
+    engine().handle(StreamStarted{RequestId(id), 0, engine().sends[0].endpoint, milliseconds(20)});
     engine().advance(milliseconds(20'000));
-    engine().end(engine().sends[0], 0, Outcome::reset, true);
+    engine().endAttempt(engine().sends[0], 0, Outcome::reset, true);
     EXPECT_EQ(engine().sends.size(), 1u);
     EXPECT_EQ(finalAnswers(), 0u);
-    EXPECT_TRUE(engine().others.empty());
+    EXPECT_TRUE(engine().otherActions.empty());
 }
 
 TEST_F(RequestLifecycleTest, DoesNotCancelStreamWhenClientDisconnects) {
     start(plainSettings());
     const std::string id = engine().request();
-    engine().feed(StreamStarted{RequestId(id), 0, engine().sends[0].endpoint, milliseconds(20)});
-    engine().feed(ClientDisconnected{RequestId(id)});
-    EXPECT_TRUE(engine().others.empty());
+    engine().handle(StreamStarted{RequestId(id), 0, engine().sends[0].endpoint, milliseconds(20)});
+    engine().handle(ClientDisconnected{RequestId(id)});
+    EXPECT_TRUE(engine().otherActions.empty());
 }
 
 TEST_F(RequestLifecycleTest, IgnoresEndOfUnknownAttempt) {
     start(plainSettings());
     engine().request();
-    for (const int attempt : {-1, 1}) engine().end(engine().sends[0], attempt, Outcome::reset, false);
+    for (const int attempt : {-1, 1}) engine().endAttempt(engine().sends[0], attempt, Outcome::reset, false);
     EXPECT_EQ(engine().sends.size(), 1u);
     EXPECT_EQ(finalAnswers(), 0u);
 }
--- a/tests/decision/quota/ceiling_bucket_test.cpp
+++ b/tests/decision/quota/ceiling_bucket_test.cpp
@@ -47,12 +47,12 @@
     requestTimes(gateway, 40, {.entryPoints = 4});
     EXPECT_GE(gateway.sends.size(), 29u);
     for (const SendAttempt& send : gateway.sends) endSuccessfully(gateway, send);
-    gateway.counting = false;
+    gateway.isCounterAnswering = false;
     gateway.advance(milliseconds(1500));
     const std::size_t before = gateway.sends.size();
     for (int i = 0; i < 12; ++i) {
         request(gateway, {.entryPoints = 4});
-        gateway.failHeldAdds(Outcome::timedOut);
+        gateway.failUnansweredAdds(Outcome::timedOut);
     }
     // A quarter of the 20 that the ceiling allows beyond the burst.
     EXPECT_EQ(gateway.sends.size() - before, 5u);
@@ -135,7 +135,7 @@
         EngineFixture& gateway = gateways_[static_cast<std::size_t>(index)];
         gateway.advance(kStep);
         const bool isAvailable = step % kOutagePeriodSteps < kOutageStartStep;
-        gateway.counting = index < GetParam().answeredGateways && isAvailable;
+        gateway.isCounterAnswering = index < GetParam().answeredGateways && isAvailable;
         if (step % kLossPeriodSteps == 0) counts_.clear();
         gateway.counts = counts_;
         const bool isIdle = step % kDemandPeriodSteps >= kDemandEndStep;
@@ -143,7 +143,7 @@
         const double cost = 1 + (step / kStepsPerRequest + index) % kCosts;
         const std::size_t before = gateway.sends.size();
         request(gateway, {.cost = cost, .entryPoints = kGateways});
-        gateway.failHeldAdds(Outcome::timedOut);
+        gateway.failUnansweredAdds(Outcome::timedOut);
         for (std::size_t i = before; i < gateway.sends.size(); ++i) {
             remaining_ -= cost;
             forwardedCost_ += cost;
--- a/tests/decision/quota/counter_ledger_test.cpp
+++ b/tests/decision/quota/counter_ledger_test.cpp
@@ -29,7 +29,7 @@
     other.now += milliseconds(4000);  // the next slice, to which no gateway has posted
     other.request();
     EXPECT_EQ(other.sends.size(), 0u);
-    EXPECT_EQ(other.refusals.size(), 1u);
+    EXPECT_EQ(other.rejections.size(), 1u);
     EXPECT_GE(other.counts.rbegin()->second, 30 - 2 * 4);  // the total less the slice's rate
 }
 
@@ -39,28 +39,29 @@
     settings().gatewayCount = kLargeFleet;
     settings().usageMeterPeriod = milliseconds(1000);
     EngineFixture gateway = startGateway(kManyEndpoints);
-    gateway.counting = false;
+    gateway.isCounterAnswering = false;
     request(gateway, {.entryPoints = kLargeFleetEntryPoints});
-    gateway.failHeldAdds(Outcome::connectFailed);  // admitted on local knowledge, and pending for the counter
+    gateway.failUnansweredAdds(
+        Outcome::connectFailed);  // admitted on local knowledge, and pending for the counter
     ASSERT_EQ(gateway.sends.size(), 1u);
-    gateway.counting = true;
+    gateway.isCounterAnswering = true;
     gateway.advance(milliseconds(4000));
     // This request opens the next slice and reads the closed one.
     request(gateway, {.entryPoints = kLargeFleetEntryPoints});
     gateway.advance(milliseconds(4000));
     EXPECT_EQ(gateway.sends.size(), 2u);
-    EXPECT_LE(gateway.counted(), 4);
+    EXPECT_LE(gateway.counterTotal(), 4);
 }
 
 // A tenant without a request in the previous slice has no known debt.
 TEST_F(CounterLedgerTest, ReadsNoClosedSliceWithoutKnownDebtFromACongestedCounter) {
     EngineFixture gateway = startGateway();
-    gateway.counting = false;
+    gateway.isCounterAnswering = false;
     for (std::uint64_t tenant = 100; tenant < 103; ++tenant) {
         request(gateway, {.tenant = tenant});
-        gateway.failHeldAdds(Outcome::rejected);
+        gateway.failUnansweredAdds(Outcome::rejected);
     }
-    gateway.counting = true;
+    gateway.isCounterAnswering = true;
     for (std::uint64_t tenant = 200; tenant < 210; ++tenant) request(gateway, {.tenant = tenant});
     for (const auto& [name, sum] : gateway.counts) EXPECT_GT(sum, 0) << name << " was only read";
 }
@@ -73,14 +74,15 @@
     for (int i = 0; i < kTenants; ++i) {
         const std::uint64_t tenant = kFirstOtherTenant + static_cast<std::uint64_t>(i);
         for (int j = 0; j < kRequestsPerTenant; ++j) {
-            gateway.counting = (tenant + static_cast<std::uint64_t>(j)) % 3 == 0;  // most calls are rejected
+            gateway.isCounterAnswering =
+                (tenant + static_cast<std::uint64_t>(j)) % 3 == 0;  // most calls are rejected
             request(gateway, {.tenant = tenant});
             gateway.advance(milliseconds(10));
-            gateway.failHeldAdds(Outcome::rejected);
+            gateway.failUnansweredAdds(Outcome::rejected);
             minimum = std::min(minimum, minCount(gateway));
         }
     }
-    EXPECT_GT(gateway.refusals.size(), 1000u);
+    EXPECT_GT(gateway.rejections.size(), 1000u);
     EXPECT_GE(minimum, -1e-6);
 }
 
@@ -88,25 +90,25 @@
 TEST_F(CounterLedgerTest, PostsChargesOfTimedOutCallsOnlyOnce) {
     plan().burst = 40;
     EngineFixture gateway = startGateway();
-    gateway.counting = false;
+    gateway.isCounterAnswering = false;
     for (int i = 0; i < 24; ++i) {
         request(gateway, {.entryPoints = 1});
-        for (const AddToCounter& add : gateway.held) gateway.counts[add.name] += add.amount;
-        gateway.failHeldAdds(Outcome::timedOut);
+        for (const AddToCounter& add : gateway.unansweredAdds) gateway.counts[add.name] += add.amount;
+        gateway.failUnansweredAdds(Outcome::timedOut);
     }
     ASSERT_EQ(gateway.sends.size(), 24u);
     for (const SendAttempt& send : gateway.sends) endSuccessfully(gateway, send);
-    gateway.counting = true;
+    gateway.isCounterAnswering = true;
     requestTimes(gateway, 4, {.entryPoints = 1});
     gateway.advance(milliseconds(5000));
-    EXPECT_GT(gateway.counted(), 20);
-    EXPECT_LE(gateway.counted(), 28 + 1e-6);
+    EXPECT_GT(gateway.counterTotal(), 20);
+    EXPECT_LE(gateway.counterTotal(), 28 + 1e-6);
 }
 
 // A reported total includes no call that was made after the one that it replies to.
 TEST_F(CounterLedgerTest, AddsChargesOfCallsInFlightToTheReportedTotal) {
     EngineFixture gateway = startGateway();
-    gateway.counting = false;
+    gateway.isCounterAnswering = false;
     const auto requestWithoutReply = [&] {
         request(gateway, {.entryPoints = 1});
         gateway.advance(milliseconds(60));  // decided without the reply
@@ -126,7 +128,7 @@
     requestTimes(gateway, 7);
     EXPECT_EQ(gateway.sends.size(), 8u);
     gateway.advance(milliseconds(500));
-    EXPECT_DOUBLE_EQ(gateway.counted(), 8);
+    EXPECT_DOUBLE_EQ(gateway.counterTotal(), 8);
 }
 
 // Reconciliations of other gateways lower a total too. Posting the difference again would exhaust the quota
@@ -135,10 +137,10 @@
     settings().reconciliationEnabled = true;
     EngineFixture gateway = startGateway();
     gateway.request(2);
-    gateway.counting = false;
+    gateway.isCounterAnswering = false;
     request(gateway, {.tenant = 9});
-    gateway.failHeldAdds(Outcome::connectFailed);
-    gateway.counting = true;
+    gateway.failUnansweredAdds(Outcome::connectFailed);
+    gateway.isCounterAnswering = true;
     for (auto& [name, value] : gateway.counts)
         if (value > 0) value -= 2;
     requestTimes(gateway, 4);
@@ -152,14 +154,14 @@
 
 TEST_F(CounterLedgerTest, IgnoresEventsForUnknownSlicesTimersAndRequests) {
     EngineFixture gateway = startGateway();
-    gateway.feed(CounterReplied{"q99.3", Outcome::ok, 4, {}});
-    gateway.feed(CounterReplied{"nonsense", Outcome::ok, 4, {}});
-    gateway.feed(TimerFired{TimerId{12345}});
-    gateway.feed(ClientDisconnected{RequestId("nobody")});
+    gateway.handle(CounterReplied{"q99.3", Outcome::ok, 4, {}});
+    gateway.handle(CounterReplied{"nonsense", Outcome::ok, 4, {}});
+    gateway.handle(TimerFired{TimerId{12345}});
+    gateway.handle(ClientDisconnected{RequestId("nobody")});
     AttemptEnded ended;
     ended.request = RequestId("nobody");
-    gateway.feed(ended);
-    EXPECT_TRUE(gateway.sends.empty() && gateway.refusals.empty() && gateway.fails.empty());
+    gateway.handle(ended);
+    EXPECT_TRUE(gateway.sends.empty() && gateway.rejections.empty() && gateway.failures.empty());
 }
 
 class ReconciliationTest : public QuotaTest {
@@ -170,11 +172,11 @@
 TEST_F(ReconciliationTest, CarriesActualCostForwardAsDebtAndRefund) {
     EngineFixture gateway = startGateway();
     gateway.request();
-    gateway.end(gateway.sends[0], 0, Outcome::ok, true, 11);  // 3 beyond the burst: a debt of 1.5 s
+    gateway.endAttempt(gateway.sends[0], 0, Outcome::ok, true, 11);  // 3 beyond the burst: a debt of 1.5 s
     gateway.advance(milliseconds(1000));
-    EXPECT_DOUBLE_EQ(gateway.counted(), 11);
+    EXPECT_DOUBLE_EQ(gateway.counterTotal(), 11);
     gateway.request();
-    EXPECT_EQ(gateway.refusals.size(), 1u);
+    EXPECT_EQ(gateway.rejections.size(), 1u);
 
     gateway.advance(milliseconds(1500));
     gateway.request();
@@ -182,9 +184,9 @@
 
     EngineFixture refund = startGateway();
     refund.request(2);
-    refund.end(refund.sends[0], 0, Outcome::ok, true, 1);
+    refund.endAttempt(refund.sends[0], 0, Outcome::ok, true, 1);
     refund.advance(milliseconds(1000));
-    EXPECT_DOUBLE_EQ(refund.counted(), 1);
+    EXPECT_DOUBLE_EQ(refund.counterTotal(), 1);
 }
 
 }  // namespace
--- a/tests/decision/quota/counter_sampler_test.cpp
+++ b/tests/decision/quota/counter_sampler_test.cpp
@@ -19,9 +19,9 @@
     static void requestWhileCallsFail(EngineFixture& gateway, int count, Outcome failure) {
         for (int i = 0; i < count; ++i) {
             const std::uint64_t tenant = kFirstOtherTenant + static_cast<std::uint64_t>(i);
-            gateway.counting = tenant % 3 == 0;
+            gateway.isCounterAnswering = tenant % 3 == 0;
             request(gateway, {.tenant = tenant});
-            gateway.failHeldAdds(failure);
+            gateway.failUnansweredAdds(failure);
         }
     }
 
@@ -35,15 +35,15 @@
 TEST_F(CounterSamplerTest, CallsACongestedCounterLessWithHigherSampleWeights) {
     EngineFixture gateway = startGateway();
     requestWhileCallsFail(gateway, 60, Outcome::rejected);
-    EXPECT_LT(gateway.adds, 60);
+    EXPECT_LT(gateway.addCount, 60);
     EXPECT_GT(maxCount(gateway), 1.5);
     EXPECT_LE(maxCount(gateway), 2);  // a higher weight could exhaust the window of a small tenant by chance
-    EXPECT_EQ(gateway.sends.size(), 60u - gateway.refusals.size());
-    gateway.counting = true;
+    EXPECT_EQ(gateway.sends.size(), 60u - gateway.rejections.size());
+    gateway.isCounterAnswering = true;
     for (std::uint64_t tenant = 200; tenant < 600; ++tenant) request(gateway, {.tenant = tenant});
-    const int before = gateway.adds;
+    const int before = gateway.addCount;
     for (std::uint64_t tenant = 600; tenant < 700; ++tenant) request(gateway, {.tenant = tenant});
-    EXPECT_GE(gateway.adds - before, 90);  // the counter has recovered
+    EXPECT_GE(gateway.addCount - before, 90);  // the counter has recovered
 }
 
 // A malformed reply or a broken connection shows nothing of the counter's load.
@@ -53,12 +53,12 @@
     EngineFixture gateway = startGateway();
     for (int i = 0; i < kRequests; ++i) {
         const std::uint64_t tenant = kFirstOtherTenant + static_cast<std::uint64_t>(i);
-        gateway.counting = tenant % 3 != 0;
+        gateway.isCounterAnswering = tenant % 3 != 0;
         request(gateway, {.tenant = tenant});
-        gateway.failHeldAdds(Outcome::reset);
+        gateway.failUnansweredAdds(Outcome::reset);
     }
     // Every request calls the counter, and those that get a reply also read the closed slice.
-    EXPECT_EQ(gateway.adds, kRequests + kAnswered);
+    EXPECT_EQ(gateway.addCount, kRequests + kAnswered);
 }
 
 TEST_F(CounterSamplerTest, CallsACongestedCounterMostForTenantsCloseToTheirQuota) {
@@ -68,15 +68,15 @@
     int frequentCalls = 0;
     int singleCalls = 0;
     for (std::uint64_t tenant = 100; tenant < 300; ++tenant) {
-        gateway.counting = false;
-        int before = gateway.adds;
+        gateway.isCounterAnswering = false;
+        int before = gateway.addCount;
         request(gateway, {.tenant = kFrequentTenant});
-        frequentCalls += gateway.adds - before;
-        gateway.failHeldAdds(Outcome::rejected);
-        gateway.counting = true;
-        before = gateway.adds;
+        frequentCalls += gateway.addCount - before;
+        gateway.failUnansweredAdds(Outcome::rejected);
+        gateway.isCounterAnswering = true;
+        before = gateway.addCount;
         request(gateway, {.tenant = tenant});
-        singleCalls += std::min(1, gateway.adds - before);  // without the read of the closed slice
+        singleCalls += std::min(1, gateway.addCount - before);  // without the read of the closed slice
         gateway.advance(milliseconds(50));
     }
     EXPECT_GT(frequentCalls, 3 * singleCalls / 2);
@@ -96,11 +96,11 @@
     for (int i = 0; i < kRequests; ++i) {
         const auto which = static_cast<std::size_t>(i % 2);
         const bool isWarmUp = i < kWarmUpRequests;
-        gateway.counting = isWarmUp || i % 10 > 1;  // some calls time out: the counter is congested
-        const int before = gateway.adds;
+        gateway.isCounterAnswering = isWarmUp || i % 10 > 1;  // some calls time out: the counter is congested
+        const int before = gateway.addCount;
         request(gateway, {.tenant = 5 + which, .entryPoints = kLargeFleetEntryPoints});
-        if (!isWarmUp && gateway.adds > before) ++sampledRequests[which];
-        gateway.failHeldAdds(Outcome::timedOut);
+        if (!isWarmUp && gateway.addCount > before) ++sampledRequests[which];
+        gateway.failUnansweredAdds(Outcome::timedOut);
         endLatestWithMeter(gateway, kMeterPercents[which]);
         gateway.advance(milliseconds(50));
     }
--- a/tests/decision/quota/quota_admission_test.cpp
+++ b/tests/decision/quota/quota_admission_test.cpp
@@ -15,7 +15,7 @@
 
 TEST_F(QuotaAdmissionTest, WaitsOnlyBrieflyForAnUnavailableCounter) {
     EngineFixture gateway = startGateway();
-    gateway.counting = false;
+    gateway.isCounterAnswering = false;
     gateway.request();
     gateway.advance(milliseconds(60));
     EXPECT_EQ(gateway.sends.size(), 1u);
@@ -25,23 +25,23 @@
     constexpr int kRequests = 200;
     constexpr int kTenants = 4;
     EngineFixture gateway = startGateway();
-    gateway.counting = false;
+    gateway.isCounterAnswering = false;
     for (int i = 0; i < kRequests; ++i) {
         request(gateway, {.tenant = static_cast<std::uint64_t>(i % kTenants)});
         gateway.advance(milliseconds(5));
-        gateway.failHeldAdds(Outcome::connectFailed);
+        gateway.failUnansweredAdds(Outcome::connectFailed);
     }
     // Four tenants with a burst of 8 each, of which this gateway admits a share.
     EXPECT_GE(gateway.sends.size(), 8u);
     EXPECT_LE(gateway.sends.size(), 32u);
-    EXPECT_LT(gateway.adds, kRequests);
+    EXPECT_LT(gateway.addCount, kRequests);
 }
 
 TEST_F(QuotaAdmissionTest, AdmitsAShareOfTheQuotaWhenTheCounterIsDisabled) {
     settings().counterEnabled = false;
     EngineFixture gateway = startGateway();
     requestTimes(gateway, 12);
-    EXPECT_EQ(gateway.adds, 0);
+    EXPECT_EQ(gateway.addCount, 0);
     EXPECT_GE(gateway.sends.size(), 3u);
     EXPECT_LE(gateway.sends.size(), 5u);
 }
@@ -55,7 +55,7 @@
     endSuccessfully(gateway, gateway.sends[0]);
     gateway.request();
     EXPECT_EQ(gateway.sends.size(), 3u);
-    EXPECT_EQ(gateway.refusals.size(), 4u);
+    EXPECT_EQ(gateway.rejections.size(), 4u);
 }
 
 struct OverQuotaCase {
@@ -77,10 +77,10 @@
     constexpr int kRequests = 7;
     plan().overQuotaWeight = GetParam().overQuotaWeight;
     EngineFixture gateway = startGateway();
-    gateway.counting = false;
+    gateway.isCounterAnswering = false;
     for (int i = 0; i < kRequests; ++i) {
         request(gateway, {.entryPoints = 4});
-        gateway.failHeldAdds(Outcome::timedOut);
+        gateway.failUnansweredAdds(Outcome::timedOut);
     }
     EXPECT_EQ(gateway.sends.size() == kRequests, GetParam().isAdmittedBeyondEstimate);
 }
@@ -102,11 +102,11 @@
         plan().burst = 800;
         plan().overQuotaPenalty = overQuotaPenalty;
         EngineFixture gateway = startGateway(kManyEndpoints);
-        gateway.counting = false;
+        gateway.isCounterAnswering = false;
         for (int i = 0; i < kRequests; ++i) {
             const std::size_t before = gateway.sends.size();
             request(gateway, {.entryPoints = kLargeFleetEntryPoints});
-            gateway.failHeldAdds(Outcome::connectFailed);
+            gateway.failUnansweredAdds(Outcome::connectFailed);
             gateway.advance(milliseconds(50));
             if (gateway.sends.size() > before) endLatestWithMeter(gateway, 100);
         }
@@ -134,16 +134,16 @@
         settings().gatewayCount = kLargeFleet;
         plan().overQuotaPenalty = overQuotaPenalty;
         EngineFixture gateway = startGateway(kManyEndpoints);
-        gateway.counting = false;
+        gateway.isCounterAnswering = false;
         for (int i = 0; i < kAnsweredRequests; ++i) {
             playRequest(gateway, i, [&] {
-                while (!gateway.held.empty()) answerOldestCall(gateway, total);
+                while (!gateway.unansweredAdds.empty()) answerOldestCall(gateway, total);
             });
         }
         gateway.sends.clear();
         for (int i = 0; i < kUnansweredRequests; ++i) {
             playRequest(gateway, kAnsweredRequests + i,
-                        [&] { gateway.failHeldAdds(Outcome::connectFailed); });
+                        [&] { gateway.failUnansweredAdds(Outcome::connectFailed); });
         }
         return static_cast<double>(gateway.sends.size()) / kUnansweredRequests;
     }
--- a/tests/decision/quota/quota_test.h
+++ b/tests/decision/quota/quota_test.h
@@ -45,7 +45,7 @@
     }
 
     static void endSuccessfully(EngineFixture& gateway, const SendAttempt& send) {
-        gateway.end(send, 0, Outcome::ok, true);
+        gateway.endAttempt(send, 0, Outcome::ok, true);
     }
 
     // Ends the gateway's latest attempt with a reading of the usage meter.
@@ -55,14 +55,14 @@
         ended.endpoint = gateway.sends.back().endpoint;
         ended.closed = true;
         ended.meteredPercent = percent;
-        gateway.feed(ended);
+        gateway.handle(ended);
     }
 
     // Answers the oldest unanswered call to the counter with a total.
     static void answerOldestCall(EngineFixture& gateway, double total) {
-        const AddToCounter add = gateway.held.front();
-        gateway.held.erase(gateway.held.begin());
-        gateway.feed(CounterReplied{add.name, Outcome::ok, total, {}});
+        const AddToCounter add = gateway.unansweredAdds.front();
+        gateway.unansweredAdds.erase(gateway.unansweredAdds.begin());
+        gateway.handle(CounterReplied{add.name, Outcome::ok, total, {}});
     }
 
 private:
--- a/tests/decision/quota/quota_window_test.cpp
+++ b/tests/decision/quota/quota_window_test.cpp
@@ -16,13 +16,14 @@
 
 TEST_F(QuotaWindowTest, PostsChargeBeforeForwarding) {
     EngineFixture gateway = startGateway();
-    gateway.counting = false;
+    gateway.isCounterAnswering = false;
     gateway.request();
-    EXPECT_GE(gateway.held.size(), 1u);
+    EXPECT_GE(gateway.unansweredAdds.size(), 1u);
     EXPECT_TRUE(gateway.sends.empty());
-    while (!gateway.held.empty())  // the call opens its slice, so a read of the closed slice follows
-        for (const AddToCounter& add : std::exchange(gateway.held, {}))
-            gateway.feed(CounterReplied{add.name, Outcome::ok, add.amount, {}});
+    while (
+        !gateway.unansweredAdds.empty())  // the call opens its slice, so a read of the closed slice follows
+        for (const AddToCounter& add : std::exchange(gateway.unansweredAdds, {}))
+            gateway.handle(CounterReplied{add.name, Outcome::ok, add.amount, {}});
     EXPECT_EQ(gateway.sends.size(), 1u);
 }
 
@@ -30,10 +31,10 @@
     EngineFixture gateway = startGateway();
     requestTimes(gateway, 12);
     EXPECT_EQ(gateway.sends.size(), 8u);
-    EXPECT_EQ(gateway.refusals.size(), 4u);
-    EXPECT_GT(gateway.refusals[0].retryAfter, Duration::zero());
+    EXPECT_EQ(gateway.rejections.size(), 4u);
+    EXPECT_GT(gateway.rejections[0].retryAfter, Duration::zero());
     gateway.advance(milliseconds(1000));
-    EXPECT_DOUBLE_EQ(gateway.counted(), 8);
+    EXPECT_DOUBLE_EQ(gateway.counterTotal(), 8);
 }
 
 TEST_F(QuotaWindowTest, CountsRequestsOfOtherGateways) {
@@ -42,7 +43,7 @@
     for (auto& [name, value] : gateway.counts) value += 7;
     gateway.request();
     EXPECT_EQ(gateway.sends.size(), 1u);
-    EXPECT_EQ(gateway.refusals.size(), 1u);
+    EXPECT_EQ(gateway.rejections.size(), 1u);
 }
 
 TEST_F(QuotaWindowTest, AdmitsAtTheRateAfterABurst) {
@@ -59,7 +60,7 @@
         gateway.advance(milliseconds(100));
     }
     EXPECT_NEAR(static_cast<double>(gateway.sends.size()), kBurst + kSeconds * kRate, 1);
-    EXPECT_GE(gateway.adds, static_cast<int>(gateway.sends.size()));
+    EXPECT_GE(gateway.addCount, static_cast<int>(gateway.sends.size()));
     for (const auto& [name, sum] : gateway.counts)
         EXPECT_LE(sum, kBurst + kSliceSeconds * kRate);  // one slice, including the debt carried into it
 }
@@ -76,10 +77,10 @@
         arrival.tenant = TenantId{5};
         arrival.plan = QuotaPlanIndex{planIndex};
         arrival.deadline = gateway.now + kClientDeadline;
-        gateway.feed(arrival);
+        gateway.handle(arrival);
     }
     EXPECT_EQ(gateway.sends.size(), 4u);
-    EXPECT_TRUE(gateway.refusals.empty());
+    EXPECT_TRUE(gateway.rejections.empty());
 }
 
 TEST_F(QuotaWindowTest, RefundsInAClosedSliceRestoreQuota) {
--- a/tests/decision/upstream/upstream_engine_test.cpp
+++ b/tests/decision/upstream/upstream_engine_test.cpp
@@ -11,14 +11,14 @@
 void UpstreamEngineTest::changeEndpoints(std::vector<EndpointEntry> entries) {
     EndpointUpdate update;
     update.entries = std::move(entries);
-    gateway_->feed(update);
+    gateway_->handle(update);
 }
 
 void UpstreamEngineTest::replaceEndpoints(std::vector<EndpointEntry> entries) {
     EndpointUpdate update;
     update.kind = UpdateKind::snapshot;
     update.entries = std::move(entries);
-    gateway_->feed(update);
+    gateway_->handle(update);
 }
 
 EndpointEntry UpstreamEngineTest::entry(const std::string& name, Availability availability, CellId cell) {
@@ -62,7 +62,7 @@
     ended.outcome = reply.outcome;
     ended.elapsed = reply.elapsed;
     ended.closed = reply.outcome == Outcome::ok;
-    gateway_->feed(ended);
+    gateway_->handle(ended);
 }
 
 void UpstreamEngineTest::advance(Duration time) {
@@ -78,11 +78,11 @@
 }
 
 const std::vector<RejectRequest>& UpstreamEngineTest::rejections() const {
-    return gateway_->refusals;
+    return gateway_->rejections;
 }
 
 std::size_t UpstreamEngineTest::failureCount() const {
-    return gateway_->fails.size();
+    return gateway_->failures.size();
 }
 
 }  // namespace gateway
--- a/tests/support/engine_fixture.cpp
+++ b/tests/support/engine_fixture.cpp
@@ -48,7 +48,7 @@
     list.kind = UpdateKind::cached;
     for (int i = 0; i < endpoints; ++i)
         list.entries.push_back(entry("w" + std::to_string(i), CellId{i / kEndpointsPerCell}));
-    feed(list);
+    handle(list);
 }
 
 EndpointEntry EngineFixture::entry(const std::string& id, CellId cell) {
@@ -58,14 +58,14 @@
     return entry;
 }
 
-void EngineFixture::feed(const Event& event) {
+void EngineFixture::handle(const Event& event) {
     Actions actions;
     engine.handle(now, event, actions);
     for (const Action& action : actions) collect(action);
     while (!answers.empty()) {
         const CounterReplied reply = answers.front();
         answers.erase(answers.begin());
-        feed(reply);
+        handle(reply);
     }
 }
 
@@ -74,17 +74,17 @@
         [&](const AddToCounter& call) { add(call); },
         [&](const SetTimer& timer) { timers.emplace(now + timer.after, timer.timer); },
         [&](const SendAttempt& send) { sends.push_back(send); },
-        [&](const RejectRequest& rejection) { refusals.push_back(rejection); },
-        [&](const FailRequest& failure) { fails.push_back(failure); },
-        [&](const auto& other) { others.emplace_back(other); },
+        [&](const RejectRequest& rejection) { rejections.push_back(rejection); },
+        [&](const FailRequest& failure) { failures.push_back(failure); },
+        [&](const auto& other) { otherActions.emplace_back(other); },
     };
     std::visit(collector, action);
 }
 
 void EngineFixture::add(const AddToCounter& add) {
-    ++adds;
-    if (!counting) {
-        held.push_back(add);
+    ++addCount;
+    if (!isCounterAnswering) {
+        unansweredAdds.push_back(add);
         return;
     }
     double& total = counts[add.name];
@@ -98,7 +98,7 @@
         now = timers.begin()->first;
         const TimerId timer = timers.begin()->second;
         timers.erase(timers.begin());
-        feed(TimerFired{timer});
+        handle(TimerFired{timer});
     }
     now = until;
 }
@@ -110,12 +110,12 @@
     arrival.cost = cost;
     arrival.entryPoints = entryPoints;
     arrival.deadline = now + patience;
-    feed(arrival);
+    handle(arrival);
     return arrival.request.value();
 }
 
-void EngineFixture::end(const SendAttempt& send, int attempt, Outcome outcome, bool closed,
-                        std::optional<double> actualCost) {
+void EngineFixture::endAttempt(const SendAttempt& send, int attempt, Outcome outcome, bool closed,
+                               std::optional<double> actualCost) {
     AttemptEnded ended;
     ended.request = send.request;
     ended.attempt = attempt;
@@ -124,15 +124,15 @@
     ended.elapsed = kAttemptTime;
     ended.closed = closed;
     ended.trueCost = actualCost;
-    feed(ended);
+    handle(ended);
 }
 
-void EngineFixture::failHeldAdds(Outcome outcome) {
-    const std::vector<AddToCounter> failing = std::exchange(held, {});
-    for (const AddToCounter& add : failing) feed(CounterReplied{add.name, outcome, 0, kCounterFailureTime});
+void EngineFixture::failUnansweredAdds(Outcome outcome) {
+    const std::vector<AddToCounter> failing = std::exchange(unansweredAdds, {});
+    for (const AddToCounter& add : failing) handle(CounterReplied{add.name, outcome, 0, kCounterFailureTime});
 }
 
-double EngineFixture::counted() const {
+double EngineFixture::counterTotal() const {
     double sum = 0;
     for (const auto& [name, total] : counts) sum += total;
     return sum;
--- a/tests/support/engine_fixture.h
+++ b/tests/support/engine_fixture.h
@@ -18,7 +18,7 @@
 Settings plainSettings();
 
 // One gateway's engine. Actions are collected as they come; the counter service replies at once while
-// `counting`. Time moves by advance() alone, which fires the timers that are due.
+// `isCounterAnswering`. Time moves by advance() alone, which fires the timers that are due.
 class EngineFixture {
 public:
     // Starts an engine and reports endpoints "w0", "w1" and so on to it, two in a cell.
@@ -27,7 +27,7 @@
     static EndpointEntry entry(const std::string& id, CellId cell = {});
 
     // Hands an event to the engine and collects its actions.
-    void feed(const Event& event);
+    void handle(const Event& event);
 
     void advance(Duration step);
 
@@ -36,29 +36,29 @@
                         int entryPoints = 2);
 
     // Ends an attempt after 50 ms.
-    void end(const SendAttempt& send, int attempt, Outcome outcome, bool closed,
-             std::optional<double> actualCost = {});
+    void endAttempt(const SendAttempt& send, int attempt, Outcome outcome, bool closed,
+                    std::optional<double> actualCost = {});
 
     // Replies to each unanswered add with a failure.
-    void failHeldAdds(Outcome outcome);
+    void failUnansweredAdds(Outcome outcome);
 
     // The sum over all names on the counter service.
-    double counted() const;
+    double counterTotal() const;
 
     Settings settings;
     DecisionEngine engine;
     TimePoint now{milliseconds(100'000)};
-    bool counting = true;
-    int adds = 0;
+    bool isCounterAnswering = true;
+    int addCount = 0;
     int requests = 0;
     std::map<std::string, double> counts;
     std::vector<CounterReplied> answers;
-    std::vector<AddToCounter> held;  // adds that the counter service has not replied to
+    std::vector<AddToCounter> unansweredAdds;  // adds that the counter service has not replied to
     std::multimap<TimePoint, TimerId> timers;
     std::vector<SendAttempt> sends;
-    std::vector<RejectRequest> refusals;
-    std::vector<FailRequest> fails;
-    Actions others;
+    std::vector<RejectRequest> rejections;
+    std::vector<FailRequest> failures;
+    Actions otherActions;
 
 private:
     void collect(const Action& action);
