--- a/tests/net/transport/timer_queue_test.cpp
+++ b/tests/net/transport/timer_queue_test.cpp
@@ -40,6 +40,14 @@
     EXPECT_GE(steady_clock::now() - setAt, milliseconds(15));
 }
 
+TEST_F(TimerQueueTest, FiresEarlierTimerThatIsSetAfterLaterOne) {
+    set(std::chrono::hours(1), 2);
+    set(milliseconds(5), 1);
+    const SteadyTimePoint deadline = steady_clock::now() + std::chrono::seconds(20);
+    while (fired.empty() && steady_clock::now() < deadline) ioContext.run_one_for(milliseconds(10));
+    EXPECT_EQ(fired, (std::vector<int>{1}));
+}
+
 TEST_F(TimerQueueTest, FiresOnlyFromEventLoop) {
     set(Duration::zero(), 1);
     EXPECT_TRUE(fired.empty());
--- a/tests/net/upstream/attempt_runner_test.cpp
+++ b/tests/net/upstream/attempt_runner_test.cpp
@@ -281,6 +281,17 @@
     EXPECT_EQ(idle.take(*endpoint), nullptr);
 }
 
+TEST_F(AttemptRunnerTest, KeepsIdleConnectionsWhenResponseCameDuringTimedOutAttempt) {
+    options.timeout = milliseconds(200);
+    const tcp::socket timedOut = startAndReceive();
+    options.timeout = seconds(20);
+    tcp::socket answered = startAndReceive();
+    respond(answered);
+    runUntil([&] { return ended.size() == 2U; });
+    EXPECT_EQ(ended[1].result.outcome, Outcome::timedOut);
+    EXPECT_NE(idle.take(*endpoint), nullptr);
+}
+
 TEST_F(AttemptRunnerTest, ClosesIdleConnectionsWhenNoResponseComesDuringTimedOutAttempt) {
     tcp::socket first = startAndReceive();
     tcp::socket second = startAndReceive();
