--- a/src/net/counter/counter_client.cpp
+++ b/src/net/counter/counter_client.cpp
@@ -107,7 +107,7 @@
 
 void CounterClient::moveLane(std::size_t index) {
     Lane& lane = lanes_[index];
-    // A lane has at most one previous connection: calls at the address before that end as timed out.
+    // A lane has at most one previous connection: calls at an older address end as timed out.
     const ConnectionPtr oldest = std::exchange(lane.previous, nullptr);
     if (oldest) oldest->failAll();
     const ConnectionPtr old = std::exchange(lane.current, nullptr);
--- a/src/net/discovery/discovery_client.h
+++ b/src/net/discovery/discovery_client.h
@@ -71,9 +71,8 @@
     const Clock& clock_;
     Options options_;
     UpdateHandler onUpdate_;
-    StreamPtr watch_;  // the stream that sends the list; null if there is none
-    std::vector<StreamPtr>
-        pending_;  // calls without an answer, or silent within a list: two at most, in order
+    StreamPtr watch_;                 // the stream that sends the list; null if there is none
+    std::vector<StreamPtr> pending_;  // without an answer, or silent within a list: two at most, in order
     bool isStopped_ = false;
     bool needsSnapshot_ = false;  // no version of this discovery's list is known
     TimerQueue::Token nextCall_ = 0;
--- a/src/net/discovery/json_document_stream.h
+++ b/src/net/discovery/json_document_stream.h
@@ -1,4 +1,4 @@
-// Finds whole JSON documents in a stream of bytes.
+// Finds complete JSON documents in a stream of bytes.
 #pragma once
 
 #include <cstddef>
--- a/src/net/discovery/poll_schedule.h
+++ b/src/net/discovery/poll_schedule.h
@@ -8,11 +8,10 @@
 
 namespace gateway::net {
 
-// A change of the endpoint list counts as known after these times, whatever became of the calls in between:
-// counted from when discovery had it and could be reached, and from the last byte of a watch that fell
-// silent,
+// A change of the endpoint list counts as known this long after discovery had it and could be reached, and
+// after the last byte of a watch that fell silent, whatever became of the calls in between.
 constexpr Duration kUpdateDeadline = std::chrono::seconds(6);
-// and from SIGHUP.
+// The same after SIGHUP, which moves the gateway to another discovery.
 constexpr Duration kReloadDeadline = std::chrono::seconds(4);
 // How much of these times a call to an available discovery takes, at most.
 constexpr Duration kMaxCallTime = std::chrono::milliseconds(1500);
--- a/src/net/discovery/watch_stream.h
+++ b/src/net/discovery/watch_stream.h
@@ -37,8 +37,8 @@
     // The stream ended: it broke, or its response is invalid.
     virtual void onEnded(const WatchStream& stream) = 0;
 
-    // A whole list, or the changes since the document before. Throws if the document is invalid, which ends
-    // the stream.
+    // A complete list, or the changes since the document before. Throws if the document is invalid, which
+    // ends the stream.
     virtual void onSnapshot(std::string_view document) = 0;
     virtual void onChanges(std::string_view document) = 0;
 };
@@ -49,7 +49,7 @@
 class WatchStream final : public TcpConnection {
 public:
     // `observer` and `timers` must outlive the stream while it is open. `needsSnapshot`: no version of the
-    // list is known, so the whole list is requested.
+    // list is known, so the complete list is requested.
     WatchStream(boost::asio::io_context& ioContext, WatchStreamObserver& observer, TimerQueue& timers,
                 bool needsSnapshot);
 
