--- a/src/decision/engine/event_context.h
+++ b/src/decision/engine/event_context.h
@@ -1,6 +1,8 @@
 // What the modules of the decision engine share while one event is handled.
 #pragma once
 
+#include <utility>
+
 #include "decision/common/random_source.h"
 #include "decision/engine/timer_table.h"
 #include "gateway/actions.h"
@@ -17,10 +19,10 @@
     TimerTable& timers;
 
     // Appends an action.
-    void act(Action action) const;
+    void act(Action action) const { actions.push_back(std::move(action)); }
 
     // Appends the action that starts a timer.
-    void setTimer(const Timer& timer, Duration after) const;
+    void setTimer(const Timer& timer, Duration after) const { act(timers.start(timer, after)); }
 };
 
 }  // namespace gateway
--- a/src/decision/upstream/endpoint_picker.cpp
+++ b/src/decision/upstream/endpoint_picker.cpp
@@ -24,15 +24,16 @@
 std::optional<std::size_t> EndpointPicker::pick(const Request& request, double work, TimePoint now,
                                                 RandomSource& random) {
     endpoints_.refreshSubset(now);
-    std::optional<std::size_t> slot = pickInPass(Pass::insideSubset, request, now, random);
-    if (!slot && isLargeFleet(settings_)) slot = pickInPass(Pass::outsideSubset, request, now, random);
+    const bool avoidsEjected = isEjectionAllowed(now);
+    std::optional<std::size_t> slot = pickInPass(Pass::insideSubset, avoidsEjected, request, now, random);
+    if (!slot && isLargeFleet(settings_))
+        slot = pickInPass(Pass::outsideSubset, avoidsEjected, request, now, random);
     if (!slot && !endpoints_.hasAvailableWarmEndpoint(now)) slowStart_.recordUnserved(work, now);
     return slot;
 }
 
-std::optional<std::size_t> EndpointPicker::pickInPass(Pass pass, const Request& request, TimePoint now,
-                                                      RandomSource& random) {
-    const bool avoidsEjected = isEjectionAllowed(now);
+std::optional<std::size_t> EndpointPicker::pickInPass(Pass pass, bool avoidsEjected, const Request& request,
+                                                      TimePoint now, RandomSource& random) {
     const std::span<Endpoint> slots = endpoints_.slots();
     std::optional<std::size_t> best;
     double lowestCost = std::numeric_limits<double>::infinity();
@@ -53,9 +54,9 @@
 }
 
 bool EndpointPicker::isCandidate(const Endpoint& endpoint, Pass pass, bool avoidsEjected, TimePoint now) {
-    if (!endpoint.isUsable() || !endpoint.hasCapacity()) return false;
-    if (avoidsEjected && endpoint.isEjected(now)) return false;
-    return endpoint.isInSubset() == (pass == Pass::insideSubset);
+    const bool isInPass = endpoint.isInSubset() == (pass == Pass::insideSubset);
+    if (!isInPass || !endpoint.isUsable() || !endpoint.hasCapacity()) return false;
+    return !avoidsEjected || !endpoint.isEjected(now);
 }
 
 bool EndpointPicker::isEjectionAllowed(TimePoint now) const {
--- a/src/decision/upstream/endpoint_picker.h
+++ b/src/decision/upstream/endpoint_picker.h
@@ -32,8 +32,8 @@
     // Which endpoints one pass over the slots considers.
     enum class Pass { insideSubset, outsideSubset };
 
-    std::optional<std::size_t> pickInPass(Pass pass, const Request& request, TimePoint now,
-                                          RandomSource& random);
+    std::optional<std::size_t> pickInPass(Pass pass, bool avoidsEjected, const Request& request,
+                                          TimePoint now, RandomSource& random);
     static bool isCandidate(const Endpoint& endpoint, Pass pass, bool avoidsEjected, TimePoint now);
     bool isEjectionAllowed(TimePoint now) const;
     bool canDeduplicate(const Endpoint& endpoint, const Request& request) const;
