--- a/include/gateway/actions.h
+++ b/include/gateway/actions.h
@@ -1,4 +1,4 @@
-// What a decision engine wants done.
+// The actions that a decision engine returns. The caller carries them out in order.
 #pragma once
 
 #include <cstdint>
@@ -10,44 +10,45 @@
 
 namespace gateway {
 
-// Send the request to an endpoint. Answered by one AttemptEnded.
+// Send the request to an endpoint. Exactly one AttemptEnded follows.
 struct SendAttempt {
     RequestId request;
     EndpointId endpoint;
     Duration timeout{};
-    Duration beginWithin{};  // after this it must not begin any more, and ends as notSent; 0: no such limit
+    Duration beginWithin{};  // an attempt that was not sent by then ends as notSent; 0: no such limit
 };
 
-// Call off an attempt that nobody waits for.
+// Cancel an attempt whose response is no longer needed.
 struct CancelAttempt {
     RequestId request;
     int attempt = 0;
 };
 
-// Final answer: not served, and a retry by the client is harmless.
+// Final answer: the request was not served, and a retry by the client is harmless.
 struct RejectRequest {
     RequestId request;
-    Duration retryAfter{};  // when to come back; 0: no advice
+    Duration retryAfter{};  // time until a retry makes sense; 0: unknown
 };
 
-// Final answer: not served, and it may have run.
+// Final answer: the request was not served, and it may have run.
 struct FailRequest {
     RequestId request;
 };
 
-// Add to a named number of the counter service and get the sum. Answered by one CounterReplied.
+// Add to a named count on the counter service. Exactly one CounterReplied follows, with the total.
 struct AddToCounter {
     std::string name;
     double amount = 0;
-    Duration keepFor{};  // after which the counter may forget the name
+    Duration keepFor{};  // time to live of the name on the counter
 };
 
+// Start a timer. One TimerFired follows.
 struct SetTimer {
     TimerId timer{};
     Duration after{};
 };
 
-// Watch discovery, and report changes of the endpoint set from now on.
+// Open a watch on discovery, and report each change of the endpoint set from now on.
 struct WatchEndpoints {};
 
 using Action = std::variant<SendAttempt, CancelAttempt, RejectRequest, FailRequest, AddToCounter, SetTimer,
--- a/include/gateway/decision_engine.h
+++ b/include/gateway/decision_engine.h
@@ -1,6 +1,7 @@
 // The decision engine of one gateway process: events and a time in, actions out.
 //
-// It has no I/O and no clock, so tests, the simulator and the server on real sockets run the same code.
+// It has no I/O and no clock, so tests, the simulator and the server on real sockets run the same code. After
+// Šnuderl, "Rate limiting in API management"; docs/design.md lists what is kept and what is changed.
 #pragma once
 
 #include <cstdint>
@@ -12,10 +13,11 @@
 
 namespace gateway {
 
+// Not thread-safe. A moved-from engine may only be destroyed or assigned to.
 class DecisionEngine {
 public:
-    // Throws SettingsError where the settings can't be served. `seed` is for the
-    // random draws: two engines with the same settings, seed and events decide alike.
+    // Throws SettingsError if the settings can't be used. Two engines with the same settings, `seed` and
+    // events make the same decisions.
     DecisionEngine(Settings settings, std::uint64_t seed);
     ~DecisionEngine();
     DecisionEngine(const DecisionEngine&) = delete;
@@ -23,8 +25,8 @@
     DecisionEngine(DecisionEngine&&) noexcept;
     DecisionEngine& operator=(DecisionEngine&&) noexcept;
 
-    // Takes in one event that happens at `now` and appends what is to be done, in order. `now` must not go
-    // back from one call to the next.
+    // Handles one event that happens at `now`, and appends the actions that follow to `actions`. The caller
+    // carries them out in order. Precondition: `now` is not before that of the previous call.
     void handle(TimePoint now, const Event& event, Actions& actions);
 
 private:
--- a/include/gateway/events.h
+++ b/include/gateway/events.h
@@ -11,24 +11,30 @@
 
 namespace gateway {
 
-enum class Availability { up, draining, removed };
+// Whether an endpoint may receive attempts.
+enum class Availability {
+    up,
+    draining,  // it finishes its attempts and receives new ones only during the drain grace period
+    removed,
+};
 
 // One endpoint as discovery lists it.
 struct EndpointEntry {
     EndpointId endpoint;
     Availability availability = Availability::up;
-    TimePoint startedAt{};  // of its latest start; 0: long ago
+    TimePoint startedAt{};  // latest start of its process; the epoch: long ago
     CellId cell{};          // for DeduplicationScope::cell
     MachineKind kind{};
-    ZoneId zone{};      // where it runs
-    double weight = 1;  // its share of the traffic, relative to the others'
+    ZoneId zone{};
+    double weight = 1;  // capacity relative to the other endpoints
 };
 
+// What the entries of an EndpointUpdate are.
 enum class UpdateKind {
-    delta,     // the entries are those that changed
-    snapshot,  // an endpoint that is not among the entries was removed
-    cached,    // a snapshot that may be old
-    failed,    // discovery could not be asked; there are no entries
+    delta,     // those that changed
+    snapshot,  // all; an endpoint without an entry was removed
+    cached,    // a snapshot that may be out of date
+    failed,    // none: discovery could not be reached
 };
 
 // Discovery reported the endpoint set, or a change of it.
@@ -43,34 +49,43 @@
     RequestClassIndex requestClass{};
     QuotaPlanIndex plan{};
     TenantId tenant{};
-    TimePoint deadline{};  // when the client abandons this try
-    double cost = 1;       // what it charges to the quota; an estimate with Settings::reconciliationEnabled
-    int entryPoints = 1;   // gateways through which this tenant's requests may come; 1 or more
-    bool isRetry = false;
+    TimePoint deadline{};  // when the client gives up
+    double cost = 1;       // charge to the quota; an estimate with Settings::reconciliationEnabled
+    int entryPoints = 1;   // gateways at which this tenant's requests may arrive; 1 or more
+    bool isRetry = false;  // the client sent it before
 };
 
 // How an attempt, or a call to the counter, ended.
-enum class Outcome { ok, error, rejected, timedOut, connectFailed, reset, cancelled, notSent };
+enum class Outcome {
+    ok,
+    error,          // the endpoint answered with an error
+    rejected,       // the peer did not start it
+    timedOut,       // no complete response in time
+    connectFailed,  // no connection could be made
+    reset,          // the connection ended, or the response was malformed, after the request was sent
+    cancelled,      // by CancelAttempt, after the request was sent
+    notSent,        // this gateway did not send it
+};
 
-// What an endpoint reported of itself; absent values were not reported.
+// What an endpoint reported about its load. Absent values were not reported.
 struct LoadReport {
-    std::optional<double> inFlight;  // requests, of all gateways
+    std::optional<double> inFlight;  // requests of all gateways
 };
 
-// An attempt is over. Every SendAttempt causes exactly one.
+// An attempt ended. Exactly one follows each SendAttempt.
 struct AttemptEnded {
     RequestId request;
-    int attempt = 0;  // number of the attempt in its request, from 0
+    int attempt = 0;  // position in its request, from 0
     EndpointId endpoint;
     Outcome outcome = Outcome::ok;
     Duration elapsed{};
-    bool closed = false;                   // the request has its final answer, or its client left
-    std::optional<double> trueCost;        // with Settings::reconciliationEnabled
-    std::optional<double> meteredPercent;  // how much of its quota the tenant uses, over all gateways
+    bool closed = false;                   // the request has its final answer, or its client disconnected
+    std::optional<double> trueCost;        // actual cost, with Settings::reconciliationEnabled
+    std::optional<double> meteredPercent;  // use of the tenant's quota over all gateways
     std::optional<LoadReport> report;
 };
 
-// The response of an attempt has begun; it can't be cancelled any more.
+// The response of an attempt has begun. The attempt can't be cancelled any more.
 struct StreamStarted {
     RequestId request;
     int attempt = 0;
@@ -78,12 +93,12 @@
     Duration elapsed{};
 };
 
-// The client left before it had a final answer.
+// The client disconnected before it had a final answer.
 struct ClientDisconnected {
     RequestId request;
 };
 
-// The counter replied to an AddToCounter, or did not. Replies for one name come in the order of the calls.
+// A call of AddToCounter ended. The replies for one name come in the order of the calls.
 struct CounterReplied {
     std::string name;
     Outcome outcome = Outcome::ok;
@@ -91,7 +106,7 @@
     Duration elapsed{};
 };
 
-// A timer of SetTimer has run down.
+// A timer of SetTimer expired.
 struct TimerFired {
     TimerId timer{};
 };
--- a/src/net/client/arrival_log.h
+++ b/src/net/client/arrival_log.h
@@ -8,7 +8,7 @@
 
 namespace gateway::net {
 
-// Tells when each pipelined request arrived. A client counts the time of a request from when it sent the
+// Keeps when each pipelined request arrived. A client counts the time of a request from when it sent the
 // request, not from the response before, so each request's time runs from the arrival of its first byte.
 class ArrivalLog {
 public:
--- a/tests/integration/counter_calls_test.cpp
+++ b/tests/integration/counter_calls_test.cpp
@@ -167,6 +167,7 @@
     Socket firstAttempt = endpoint.accept();
     firstAttempt.receiveMessage();
     std::vector<const Socket*> waiting;
+    waiting.reserve(lanes.size());
     for (const Socket& lane : lanes) waiting.push_back(&lane);
     ASSERT_EQ(waitForReadable(waiting).size(), 1u);
     for (Socket& lane : lanes) {
--- a/tests/integration/upstream_connection_reuse_test.cpp
+++ b/tests/integration/upstream_connection_reuse_test.cpp
@@ -80,7 +80,7 @@
     EXPECT_EQ(bodyOf(client.receiveMessage()), "two");
 }
 
-// The machine was cut off: it says nothing, and its connections stay open.
+// The machine was cut off: it sends nothing, and its connections stay open.
 TEST_F(UpstreamConnectionReuseTest, DropsIdleConnectionsOfEndpointThatDoesNotRespond) {
     startGateway();
     Socket clients[] = {connectClient(), connectClient()};
