--- a/src/decision/engine/attempt_dispatcher.cpp
+++ b/src/decision/engine/attempt_dispatcher.cpp
@@ -2,7 +2,6 @@
 
 #include <optional>
 
-
 namespace gateway {
 
 AttemptDispatcher::AttemptDispatcher(LatencyStats& latency, EndpointStats& stats, SlowStart& slowStart,
--- a/src/decision/engine/decision_engine.cpp
+++ b/src/decision/engine/decision_engine.cpp
@@ -96,8 +96,7 @@
       retries_(settings_, latency_),
       attempts_(latency_, endpointStats_, slowStart_, limiter_, endpoints_, picker_, retries_),
       endpointWatch_(settings_, endpoints_, limiter_),
-      lifecycle_(settings_, requests_, {tenants_, ledger_, admission_},
-                 {latency_, retries_, attempts_}) {}
+      lifecycle_(settings_, requests_, {tenants_, ledger_, admission_}, {latency_, retries_, attempts_}) {}
 
 void DecisionEngine::Impl::handle(TimePoint now, const Event& event, Actions& actions) {
     if (!startedAt_) {
--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -175,8 +175,7 @@
     // client that was answered or has disconnected.
     const bool isServed = result.outcome == Outcome::ok && attempt->isClientWaiting;
     if (isServed)
-        answer(attempt->request,
-               {http::status::ok, Duration::zero(), result.contentType, result.body});
+        answer(attempt->request, {http::status::ok, Duration::zero(), result.contentType, result.body});
     else
         requests_.removeIfComplete(attempt->request);
     dispatcher_.dispatch(toEvent(*attempt, result, isServed || !attempt->isClientWaiting));
