--- a/include/gateway/types.h
+++ b/include/gateway/types.h
@@ -55,7 +55,7 @@
 enum class CellId : int {};             // endpoints of one cell deduplicate requests together
 enum class MachineKind : int {};        // index of a kind of machine in the settings
 
-// The position that an index type stands for. Precondition: `index` is not negative.
+// The position that an index type denotes. Precondition: `index` is not negative.
 template <class Index>
 requires std::is_enum_v<Index>
 constexpr std::size_t toPosition(Index index) {
--- a/src/decision/quota/quota_window.h
+++ b/src/decision/quota/quota_window.h
@@ -20,8 +20,8 @@
     bool covers(double requestCost) const;
 };
 
-// Decides on the slices of the tenants that it is handed. Unless a function says otherwise, the tenant's plan
-// must have a rate above 0.
+// Decides on the slices of the tenants that it is handed. Unless a function states otherwise, the tenant's
+// plan must have a rate above 0.
 class QuotaWindow {
 public:
     // Both arguments must outlive the window.
--- a/src/net/discovery/discovery_client.h
+++ b/src/net/discovery/discovery_client.h
@@ -14,7 +14,7 @@
 
 namespace gateway::net {
 
-// Calls discovery as the PollSchedule says, watches its list, and hands on every snapshot and change in
+// Calls discovery by the PollSchedule, watches its list, and hands on every snapshot and change in
 // order.
 //
 // A call that is not answered yet stays open while one newer call is made beside it: if it were closed, a
--- a/src/net/transport/tcp_connection.h
+++ b/src/net/transport/tcp_connection.h
@@ -43,7 +43,7 @@
     // Starts to read from an accepted connection. Precondition: constructed from a connected socket.
     void start();
 
-    // Whether connecting failed because this process has no descriptor left, which says nothing about the
+    // Whether connecting failed because this process has no descriptor left, which is no evidence about the
     // peer.
     bool lacksDescriptor() const { return lacksDescriptor_; }
 
--- a/src/net/upstream/attempt_runner.cpp
+++ b/src/net/upstream/attempt_runner.cpp
@@ -34,7 +34,7 @@
         send(attempt);
         return;
     }
-    if (!hasConnectionCapacity()) {  // a shortage of this process says nothing about the endpoint's health
+    if (!hasConnectionCapacity()) {  // a shortage of this process is no evidence about the endpoint
         finish(id, Outcome::notSent);
         return;
     }
@@ -107,8 +107,8 @@
     } else if (connection->isRequestWritten()) {
         finish(id, Outcome::reset);  // it may have run
     } else {
-        // The end of a connection that had been idle, or a shortage of descriptors in this process, says
-        // nothing about the endpoint's health.
+        // The end of a connection that had been idle, or a shortage of descriptors in this process, is
+        // no evidence about the endpoint's health.
         const bool isEndpointAtFault = !connection->isReused() && !connection->lacksDescriptor();
         finish(id, isEndpointAtFault ? Outcome::connectFailed : Outcome::notSent);
     }
--- a/src/net/upstream/attempt_runner.h
+++ b/src/net/upstream/attempt_runner.h
@@ -30,7 +30,7 @@
     struct Hooks {
         // Called once for each attempt, at the earliest within start().
         std::function<void(AttemptId, AttemptResult&&)> onEnded;
-        // Called when a new connection is up, before the attempt is sent on it. May cancel the attempt.
+        // Called when a new connection is up, before the attempt is written to it. May cancel the attempt.
         std::function<void(AttemptId)> beforeSend;
         // Whether the attempt is to be sent. If not, it ends as Outcome::notSent.
         std::function<bool(AttemptId)> isWanted;
--- a/src/net/upstream/idle_connection_pool.h
+++ b/src/net/upstream/idle_connection_pool.h
@@ -15,7 +15,7 @@
 
 // Holds connections between two attempts. A connection has a cool-down before reuse, since a surplus response
 // could be taken for the next request's. It is closed after half of the endpoints' keep-alive time, so that
-// no request is sent on a connection that its endpoint is closing.
+// no request is written to a connection that its endpoint is closing.
 class IdleConnectionPool {
 public:
     using ConnectionPtr = std::shared_ptr<UpstreamConnection>;
--- a/src/net/upstream/upstream_response.cpp
+++ b/src/net/upstream/upstream_response.cpp
@@ -46,7 +46,7 @@
     return report;
 }
 
-// An endpoint that has not started the request says so by "Not-Started: 1" on a 503 or 504.
+// An endpoint that has not started the request sends "Not-Started: 1" on a 503 or 504.
 Outcome outcomeOf(const HttpResponse& message) {
     const http::status status = message.result();
     if (status == http::status::ok) return Outcome::ok;
--- a/src/settings/json_fields.h
+++ b/src/settings/json_fields.h
@@ -18,7 +18,7 @@
 // Parses a JSON document. Throws FieldError for `place` if the text is not JSON.
 Json parseJson(std::string_view text, const std::string& place);
 
-// One of the words that a field may hold, and the value that it stands for.
+// One of the words that a field may hold, and the value that it denotes.
 template <class Value>
 struct Choice {
     const char* word;
--- a/tests/integration/client_disconnect_during_attempt_test.cpp
+++ b/tests/integration/client_disconnect_during_attempt_test.cpp
@@ -98,7 +98,7 @@
         case AttemptFailure::serverError:
             return connection.write("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
         case AttemptFailure::invalidResponse:
-            return connection.write("noise\r\n\r\n");
+            return connection.write("garbage\r\n\r\n");
         case AttemptFailure::closed:
             return connection.close();
         case AttemptFailure::reset:
--- a/tests/net/discovery/watch_stream_test.cpp
+++ b/tests/net/discovery/watch_stream_test.cpp
@@ -72,7 +72,7 @@
 TEST_F(WatchStreamTest, EndsAtInvalidDocumentAndResumesFromLastValidVersion) {
     startGateway();
     int index = 42;
-    for (const char* invalid : {"noise\n", "{\"index\": 50, \"snapshot\"}\n",
+    for (const char* invalid : {"garbage\n", "{\"index\": 50, \"snapshot\"}\n",
                                 "{\"index\": -1, \"snapshot\": true, \"endpoints\": []}\n",
                                 "{\n  \"index\": 51,\n  \"snapshot\": true,\n  \"endpoints\": [{}]\n}\n"}) {
         SCOPED_TRACE(invalid);
