--- a/include/gateway/events.h
+++ b/include/gateway/events.h
@@ -80,7 +80,7 @@
     Outcome outcome = Outcome::ok;
     Duration elapsed{};
     bool closed = false;                   // the request has its final answer, or its client disconnected
-    std::optional<double> trueCost;        // actual cost, with Settings::reconciliationEnabled
+    std::optional<double> actualCost;      // with Settings::reconciliationEnabled only
     std::optional<double> meteredPercent;  // use of the tenant's quota over all gateways
     std::optional<LoadReport> report;
 };
--- a/src/decision/engine/request_lifecycle.cpp
+++ b/src/decision/engine/request_lifecycle.cpp
@@ -146,7 +146,8 @@
                                   Tenant* tenant) {
     if (tenant == nullptr) return;
     if (ended.meteredPercent) tenant->usage.recordMeter(*ended.meteredPercent);
-    if (ended.trueCost) ledger_.reconcile(context, *tenant, request, *ended.trueCost - request.arrival.cost);
+    if (ended.actualCost)
+        ledger_.reconcile(context, *tenant, request, *ended.actualCost - request.arrival.cost);
 }
 
 // ---- The end --------------------------------------------------------------------------------------
--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -23,7 +23,7 @@
     event.elapsed = result.elapsed;
     event.report = result.report;
     event.meteredPercent = result.meteredPercent;
-    event.trueCost = result.trueCost;
+    event.actualCost = result.actualCost;
     event.closed = isClosed;
     return event;
 }
--- a/src/net/upstream/attempt.h
+++ b/src/net/upstream/attempt.h
@@ -29,7 +29,7 @@
     Duration elapsed{};  // from the start of the attempt
     std::optional<LoadReport> report;
     std::optional<double> meteredPercent;  // of the tenant's quota in use, over all gateways
-    std::optional<double> trueCost;        // what the request cost in the end; with Outcome::ok only
+    std::optional<double> actualCost;      // with Outcome::ok only
     std::string contentType;               // with Outcome::ok only
     std::string body;                      // with Outcome::ok only
 };
--- a/src/net/upstream/upstream_response.cpp
+++ b/src/net/upstream/upstream_response.cpp
@@ -63,7 +63,7 @@
     result.report = parseLoadReport(message["Server-Load"]);
     result.meteredPercent = parseNumber(message["X-Meter"]);
     if (result.outcome != Outcome::ok) return result;
-    result.trueCost = parseNumber(message["X-Settled"]);
+    result.actualCost = parseNumber(message["X-Settled"]);
     const string_view contentType = message[http::field::content_type];
     result.contentType.assign(contentType.data(), contentType.size());
     result.body = std::move(message.body());
--- a/tests/net/upstream/upstream_response_test.cpp
+++ b/tests/net/upstream/upstream_response_test.cpp
@@ -31,7 +31,7 @@
     ASSERT_TRUE(result.report);
     EXPECT_EQ(result.report->inFlight, 7);
     EXPECT_EQ(result.meteredPercent, 62.5);
-    EXPECT_EQ(result.trueCost, 3);
+    EXPECT_EQ(result.actualCost, 3);
     EXPECT_EQ(result.contentType, "text/plain");
     EXPECT_EQ(result.body, "content");
 }
@@ -44,7 +44,7 @@
     EXPECT_EQ(result.outcome, Outcome::error);
     ASSERT_TRUE(result.report);
     EXPECT_EQ(result.report->inFlight, 4);
-    EXPECT_EQ(result.trueCost, std::nullopt);
+    EXPECT_EQ(result.actualCost, std::nullopt);
     EXPECT_EQ(result.body, "");
 }
 
@@ -80,7 +80,7 @@
     response.set("Server-Load", std::string("inflight=") + GetParam());
     const AttemptResult result = resultOf(http::status::ok);
     EXPECT_EQ(result.meteredPercent, std::nullopt);
-    EXPECT_EQ(result.trueCost, std::nullopt);
+    EXPECT_EQ(result.actualCost, std::nullopt);
     EXPECT_FALSE(result.report);
 }
 
--- a/tests/support/engine_fixture.cpp
+++ b/tests/support/engine_fixture.cpp
@@ -123,7 +123,7 @@
     ended.outcome = outcome;
     ended.elapsed = kAttemptTime;
     ended.closed = closed;
-    ended.trueCost = actualCost;
+    ended.actualCost = actualCost;
     handle(ended);
 }
 
