--- a/src/decision/engine/request_lifecycle.cpp
+++ b/src/decision/engine/request_lifecycle.cpp
@@ -145,7 +145,7 @@
 void RequestLifecycle::settleCost(EventContext& context, Request& request, const AttemptEnded& ended,
                                   Tenant* tenant) {
     if (tenant == nullptr) return;
-    if (ended.meteredPercent) tenant->usage.recordMeter(*ended.meteredPercent);
+    if (ended.quotaUsagePercent) tenant->usage.recordMeter(*ended.quotaUsagePercent);
     if (ended.actualCost)
         ledger_.reconcile(context, *tenant, request, *ended.actualCost - request.arrival.cost);
 }
--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -22,7 +22,7 @@
     event.outcome = result.outcome;
     event.elapsed = result.elapsed;
     event.report = result.report;
-    event.meteredPercent = result.meteredPercent;
+    event.quotaUsagePercent = result.quotaUsagePercent;
     event.actualCost = result.actualCost;
     event.closed = isClosed;
     return event;
--- a/src/net/upstream/attempt.h
+++ b/src/net/upstream/attempt.h
@@ -28,10 +28,10 @@
     Outcome outcome = Outcome::reset;
     Duration elapsed{};  // from the start of the attempt
     std::optional<LoadReport> report;
-    std::optional<double> meteredPercent;  // of the tenant's quota in use, over all gateways
-    std::optional<double> actualCost;      // with Outcome::ok only
-    std::string contentType;               // with Outcome::ok only
-    std::string body;                      // with Outcome::ok only
+    std::optional<double> quotaUsagePercent;  // over all gateways
+    std::optional<double> actualCost;         // with Outcome::ok only
+    std::string contentType;                  // with Outcome::ok only
+    std::string body;                         // with Outcome::ok only
 };
 
 // The result of an attempt of which the endpoint received nothing.
--- a/src/net/upstream/upstream_response.cpp
+++ b/src/net/upstream/upstream_response.cpp
@@ -61,7 +61,7 @@
     AttemptResult result;
     result.outcome = outcomeOf(message);
     result.report = parseLoadReport(message["Server-Load"]);
-    result.meteredPercent = parseNumber(message["X-Meter"]);
+    result.quotaUsagePercent = parseNumber(message["X-Meter"]);
     if (result.outcome != Outcome::ok) return result;
     result.actualCost = parseNumber(message["X-Settled"]);
     const string_view contentType = message[http::field::content_type];
--- a/src/simulator/wire_reader.cpp
+++ b/src/simulator/wire_reader.cpp
@@ -88,7 +88,8 @@
     ended.closed = fields.flag("last");
     if (const double billed = fields.number("billed", 0); billed > 0) ended.actualCost = billed;
     // The wire has the meter's percentage plus 1; 0 means that there is none.
-    if (const double metered = fields.number("metered", 0); metered > 0) ended.meteredPercent = metered - 1;
+    if (const double metered = fields.number("metered", 0); metered > 0)
+        ended.quotaUsagePercent = metered - 1;
     ended.report = readReport(fields);
     return ended;
 }
--- a/tests/decision/quota/quota_test.h
+++ b/tests/decision/quota/quota_test.h
@@ -54,7 +54,7 @@
         ended.request = gateway.sends.back().request;
         ended.endpoint = gateway.sends.back().endpoint;
         ended.closed = true;
-        ended.meteredPercent = percent;
+        ended.quotaUsagePercent = percent;
         gateway.handle(ended);
     }
 
--- a/tests/net/upstream/upstream_response_test.cpp
+++ b/tests/net/upstream/upstream_response_test.cpp
@@ -30,7 +30,7 @@
     EXPECT_EQ(result.outcome, Outcome::ok);
     ASSERT_TRUE(result.report);
     EXPECT_EQ(result.report->inFlight, 7);
-    EXPECT_EQ(result.meteredPercent, 62.5);
+    EXPECT_EQ(result.quotaUsagePercent, 62.5);
     EXPECT_EQ(result.actualCost, 3);
     EXPECT_EQ(result.contentType, "text/plain");
     EXPECT_EQ(result.body, "content");
@@ -79,7 +79,7 @@
     response.set("X-Settled", GetParam());
     response.set("Server-Load", std::string("inflight=") + GetParam());
     const AttemptResult result = resultOf(http::status::ok);
-    EXPECT_EQ(result.meteredPercent, std::nullopt);
+    EXPECT_EQ(result.quotaUsagePercent, std::nullopt);
     EXPECT_EQ(result.actualCost, std::nullopt);
     EXPECT_FALSE(result.report);
 }
