--- a/include/gateway/events.h
+++ b/include/gateway/events.h
@@ -82,7 +82,7 @@
     bool closed = false;                      // the request has its final answer, or its client disconnected
     std::optional<double> actualCost;         // with Settings::reconciliationEnabled only
     std::optional<double> quotaUsagePercent;  // of the tenant, over all gateways
-    std::optional<LoadReport> report;
+    std::optional<LoadReport> loadReport;
 };
 
 // The response of an attempt has begun. The attempt can't be cancelled any more.
--- a/src/decision/upstream/endpoint.cpp
+++ b/src/decision/upstream/endpoint.cpp
@@ -26,7 +26,8 @@
 }
 
 void Endpoint::observeAttempt(const AttemptEnded& ended, const AttemptSample& sample, TimePoint now) {
-    if (ended.report && ended.report->inFlight) load_.recordReport(*ended.report->inFlight, inFlight());
+    if (ended.loadReport && ended.loadReport->inFlight)
+        load_.recordReport(*ended.loadReport->inFlight, inFlight());
     load_.recordAttempt(sample, now);
     concurrency_.observe(sample, now);
     outlier_.observe(ended.outcome, now);
--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -21,7 +21,7 @@
     event.endpoint = attempt.endpoint;
     event.outcome = result.outcome;
     event.elapsed = result.elapsed;
-    event.report = result.report;
+    event.loadReport = result.loadReport;
     event.quotaUsagePercent = result.quotaUsagePercent;
     event.actualCost = result.actualCost;
     event.closed = isClosed;
--- a/src/net/upstream/attempt.h
+++ b/src/net/upstream/attempt.h
@@ -27,7 +27,7 @@
 struct AttemptResult {
     Outcome outcome = Outcome::reset;
     Duration elapsed{};  // from the start of the attempt
-    std::optional<LoadReport> report;
+    std::optional<LoadReport> loadReport;
     std::optional<double> quotaUsagePercent;  // over all gateways
     std::optional<double> actualCost;         // with Outcome::ok only
     std::string contentType;                  // with Outcome::ok only
--- a/src/net/upstream/upstream_response.cpp
+++ b/src/net/upstream/upstream_response.cpp
@@ -60,7 +60,7 @@
 AttemptResult readAttemptResult(HttpResponse& message) {
     AttemptResult result;
     result.outcome = outcomeOf(message);
-    result.report = parseLoadReport(message["Server-Load"]);
+    result.loadReport = parseLoadReport(message["Server-Load"]);
     result.quotaUsagePercent = parseNumber(message["X-Meter"]);
     if (result.outcome != Outcome::ok) return result;
     result.actualCost = parseNumber(message["X-Settled"]);
--- a/src/simulator/wire_reader.cpp
+++ b/src/simulator/wire_reader.cpp
@@ -90,7 +90,7 @@
     // The wire has the meter's percentage plus 1; 0 means that there is none.
     if (const double metered = fields.number("metered", 0); metered > 0)
         ended.quotaUsagePercent = metered - 1;
-    ended.report = readReport(fields);
+    ended.loadReport = readReport(fields);
     return ended;
 }
 
--- a/tests/decision/upstream/endpoint_test.cpp
+++ b/tests/decision/upstream/endpoint_test.cpp
@@ -81,8 +81,8 @@
 TEST_F(EndpointTest, ReportedLoadExcludesOwnAttemptsStillInFlight) {
     endpoint.beginAttempt(1);
     AttemptEnded ended;
-    ended.report.emplace();
-    ended.report->inFlight = 1;
+    ended.loadReport.emplace();
+    ended.loadReport->inFlight = 1;
     endpoint.observeAttempt(ended, AttemptSample{}, kNow);
     EXPECT_EQ(endpoint.load().remoteInFlight(), 0);
 }
--- a/tests/net/upstream/upstream_response_test.cpp
+++ b/tests/net/upstream/upstream_response_test.cpp
@@ -28,8 +28,8 @@
     response.body() = "content";
     const AttemptResult result = resultOf(http::status::ok);
     EXPECT_EQ(result.outcome, Outcome::ok);
-    ASSERT_TRUE(result.report);
-    EXPECT_EQ(result.report->inFlight, 7);
+    ASSERT_TRUE(result.loadReport);
+    EXPECT_EQ(result.loadReport->inFlight, 7);
     EXPECT_EQ(result.quotaUsagePercent, 62.5);
     EXPECT_EQ(result.actualCost, 3);
     EXPECT_EQ(result.contentType, "text/plain");
@@ -42,8 +42,8 @@
     response.body() = "content";
     const AttemptResult result = resultOf(http::status::internal_server_error);
     EXPECT_EQ(result.outcome, Outcome::error);
-    ASSERT_TRUE(result.report);
-    EXPECT_EQ(result.report->inFlight, 4);
+    ASSERT_TRUE(result.loadReport);
+    EXPECT_EQ(result.loadReport->inFlight, 4);
     EXPECT_EQ(result.actualCost, std::nullopt);
     EXPECT_EQ(result.body, "");
 }
@@ -65,10 +65,10 @@
 TEST_F(UpstreamResponseTest, IgnoresOtherItemsOfLoadReport) {
     response.set("Server-Load", "queue=2, rif=4, cpu");
     const AttemptResult result = resultOf(http::status::ok);
-    ASSERT_TRUE(result.report);
-    EXPECT_EQ(result.report->inFlight, 4);
+    ASSERT_TRUE(result.loadReport);
+    EXPECT_EQ(result.loadReport->inFlight, 4);
     response.set("Server-Load", "queue=2");
-    EXPECT_FALSE(resultOf(http::status::ok).report);
+    EXPECT_FALSE(resultOf(http::status::ok).loadReport);
 }
 
 class UpstreamResponseNumberTest : public UpstreamResponseTest,
@@ -81,7 +81,7 @@
     const AttemptResult result = resultOf(http::status::ok);
     EXPECT_EQ(result.quotaUsagePercent, std::nullopt);
     EXPECT_EQ(result.actualCost, std::nullopt);
-    EXPECT_FALSE(result.report);
+    EXPECT_FALSE(result.loadReport);
 }
 
 INSTANTIATE_TEST_SUITE_P(Numbers, UpstreamResponseNumberTest,
--- a/tests/support/slow_start_fleet_endpoints.cpp
+++ b/tests/support/slow_start_fleet_endpoints.cpp
@@ -91,8 +91,8 @@
     ended.elapsed = now_ - attempt.sentAt;
     ended.closed = outcome == Outcome::ok || now_ >= request.deadline;
     if (outcome == Outcome::ok || outcome == Outcome::rejected) {
-        ended.report.emplace();
-        ended.report->inFlight = endpoint.busyCores + static_cast<double>(endpoint.queue.size());
+        ended.loadReport.emplace();
+        ended.loadReport->inFlight = endpoint.busyCores + static_cast<double>(endpoint.queue.size());
     }
     feed(attempt.gateway, ended);
 }
