--- a/include/gateway/events.h
+++ b/include/gateway/events.h
@@ -79,7 +79,7 @@
     EndpointId endpoint;
     Outcome outcome = Outcome::ok;
     Duration elapsed{};
-    bool closed = false;                      // the request has its final answer, or its client disconnected
+    bool requestClosed = false;               // the request has its final answer, or its client disconnected
     std::optional<double> actualCost;         // with Settings::reconciliationEnabled only
     std::optional<double> quotaUsagePercent;  // of the tenant, over all gateways
     std::optional<LoadReport> loadReport;
--- a/src/decision/engine/request_lifecycle.cpp
+++ b/src/decision/engine/request_lifecycle.cpp
@@ -120,7 +120,7 @@
     attempts_.recordEnd(*request, ended, context.now);
     recordReached(*request, ended.outcome);
     settleCost(context, *request, ended, tenant);
-    if (ended.closed) request->closed = true;
+    if (ended.requestClosed) request->closed = true;
 
     if (!request->closed && retries_.tryAcquireRetry(*request, context.now)) {
         forward(context, *request);
--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 AttemptEnded toEvent(const RequestRegistry::EndedAttempt& attempt, const AttemptResult& result,
-                     bool isClosed) {
+                     bool isRequestClosed) {
     AttemptEnded event;
     event.request = attempt.request;
     event.attempt = attempt.number;
@@ -24,7 +24,7 @@
     event.loadReport = result.loadReport;
     event.quotaUsagePercent = result.quotaUsagePercent;
     event.actualCost = result.actualCost;
-    event.closed = isClosed;
+    event.requestClosed = isRequestClosed;
     return event;
 }
 
--- a/src/simulator/wire_reader.cpp
+++ b/src/simulator/wire_reader.cpp
@@ -85,7 +85,7 @@
     ended.endpoint = readEndpointId(fields);
     ended.outcome = readOutcome(fields);
     ended.elapsed = fields.seconds("waitTimeS", 0);
-    ended.closed = fields.flag("last");
+    ended.requestClosed = fields.flag("last");
     if (const double billed = fields.number("billed", 0); billed > 0) ended.actualCost = billed;
     // The wire has the meter's percentage plus 1; 0 means that there is none.
     if (const double metered = fields.number("metered", 0); metered > 0)
--- a/tests/decision/quota/quota_test.h
+++ b/tests/decision/quota/quota_test.h
@@ -53,7 +53,7 @@
         AttemptEnded ended;
         ended.request = gateway.sends.back().request;
         ended.endpoint = gateway.sends.back().endpoint;
-        ended.closed = true;
+        ended.requestClosed = true;
         ended.quotaUsagePercent = percent;
         gateway.handle(ended);
     }
--- a/tests/decision/upstream/endpoint_subset_test.cpp
+++ b/tests/decision/upstream/endpoint_subset_test.cpp
@@ -137,7 +137,7 @@
             ended.endpoint = send->endpoint;
             ended.outcome = outcome;
             ended.elapsed = milliseconds(20);
-            ended.closed = outcome == Outcome::ok;
+            ended.requestClosed = outcome == Outcome::ok;
             ++attempt;
             used.insert(ended.endpoint);
             engine.handle(now, ended, actions);
--- a/tests/decision/upstream/slow_start_test.cpp
+++ b/tests/decision/upstream/slow_start_test.cpp
@@ -194,7 +194,7 @@
         ended.request = attempt.request;
         ended.endpoint = attempt.endpoint;
         ended.elapsed = elapsed;
-        ended.closed = true;
+        ended.requestClosed = true;
         Actions actions;
         engine.handle(now + elapsed, ended, actions);
     }
--- a/tests/decision/upstream/upstream_engine_test.cpp
+++ b/tests/decision/upstream/upstream_engine_test.cpp
@@ -61,7 +61,7 @@
     ended.endpoint = attempt.endpoint;
     ended.outcome = reply.outcome;
     ended.elapsed = reply.elapsed;
-    ended.closed = reply.outcome == Outcome::ok;
+    ended.requestClosed = reply.outcome == Outcome::ok;
     gateway_->handle(ended);
 }
 
--- a/tests/support/engine_fixture.cpp
+++ b/tests/support/engine_fixture.cpp
@@ -114,7 +114,7 @@
     return arrival.request.value();
 }
 
-void EngineFixture::endAttempt(const SendAttempt& send, int attempt, Outcome outcome, bool closed,
+void EngineFixture::endAttempt(const SendAttempt& send, int attempt, Outcome outcome, bool requestClosed,
                                std::optional<double> actualCost) {
     AttemptEnded ended;
     ended.request = send.request;
@@ -122,7 +122,7 @@
     ended.endpoint = send.endpoint;
     ended.outcome = outcome;
     ended.elapsed = kAttemptTime;
-    ended.closed = closed;
+    ended.requestClosed = requestClosed;
     ended.actualCost = actualCost;
     handle(ended);
 }
--- a/tests/support/engine_fixture.h
+++ b/tests/support/engine_fixture.h
@@ -36,7 +36,7 @@
                         int entryPoints = 2);
 
     // Ends an attempt after 50 ms.
-    void endAttempt(const SendAttempt& send, int attempt, Outcome outcome, bool closed,
+    void endAttempt(const SendAttempt& send, int attempt, Outcome outcome, bool requestClosed,
                     std::optional<double> actualCost = {});
 
     // Replies to each unanswered add with a failure.
--- a/tests/support/slow_start_fleet_endpoints.cpp
+++ b/tests/support/slow_start_fleet_endpoints.cpp
@@ -89,7 +89,7 @@
     ended.endpoint = endpoint.entry.endpoint;
     ended.outcome = outcome;
     ended.elapsed = now_ - attempt.sentAt;
-    ended.closed = outcome == Outcome::ok || now_ >= request.deadline;
+    ended.requestClosed = outcome == Outcome::ok || now_ >= request.deadline;
     if (outcome == Outcome::ok || outcome == Outcome::rejected) {
         ended.loadReport.emplace();
         ended.loadReport->inFlight = endpoint.busyCores + static_cast<double>(endpoint.queue.size());
