--- a/include/gateway/actions.h
+++ b/include/gateway/actions.h
@@ -15,7 +15,7 @@
     RequestId request;
     EndpointId endpoint;
     Duration timeout{};
-    Duration beginWithin{};  // an attempt that was not sent by then ends as notSent; 0: no such limit
+    Duration maxSendDelay{};  // an attempt that was not sent within it ends as notSent; 0: no limit
 };
 
 // Cancel an attempt whose response is no longer needed.
--- a/src/decision/engine/attempt_dispatcher.cpp
+++ b/src/decision/engine/attempt_dispatcher.cpp
@@ -28,8 +28,8 @@
     request.attempts.push_back({*slot, context.now, false});
     limiter_.beginAttempt();
     endpoint.beginAttempt(work);
-    const Duration beginWithin = retries_.beginWithin(request, context.now);
-    context.act(SendAttempt{request.arrival.request, endpoint.entry().endpoint, timeout, beginWithin});
+    const Duration maxSendDelay = retries_.maxSendDelay(request, context.now);
+    context.act(SendAttempt{request.arrival.request, endpoint.entry().endpoint, timeout, maxSendDelay});
     return true;
 }
 
--- a/src/decision/upstream/retry_policy.cpp
+++ b/src/decision/upstream/retry_policy.cpp
@@ -38,7 +38,7 @@
     return terms.deduplicationScope == DeduplicationScope::all && isWithinIdempotencyWindow(request, now);
 }
 
-Duration RetryPolicy::beginWithin(const Request& request, TimePoint now) const {
+Duration RetryPolicy::maxSendDelay(const Request& request, TimePoint now) const {
     const RequestClass& terms = termsOf(request);
     if (!request.possibleRun || terms.idempotency != Idempotency::withKey) return Duration{};
     return request.possibleRun->since + terms.idempotencyWindow - now;
--- a/src/decision/upstream/retry_policy.h
+++ b/src/decision/upstream/retry_policy.h
@@ -27,7 +27,7 @@
     bool isClientRetrySafe(const Request& request, TimePoint now) const;
 
     // Time from now within which the next attempt must be sent. 0: no limit.
-    Duration beginWithin(const Request& request, TimePoint now) const;
+    Duration maxSendDelay(const Request& request, TimePoint now) const;
 
 private:
     static constexpr double kMaxTokens = 10;  // retries that can be saved
--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -191,7 +191,7 @@
         handleAttemptEnded(attempt->id, notSentResult());
         return;
     }
-    upstreams_.start(attempt->id, action.endpoint, {action.timeout, action.beginWithin}, attempt->forwarded);
+    upstreams_.start(attempt->id, action.endpoint, {action.timeout, action.maxSendDelay}, attempt->forwarded);
 }
 
 void GatewayServer::execute(const CancelAttempt& action) {
--- a/tests/decision/engine/request_lifecycle_test.cpp
+++ b/tests/decision/engine/request_lifecycle_test.cpp
@@ -82,33 +82,33 @@
 TEST_F(RequestLifecycleTest, LimitsStartOfKeyedRetryToIdempotencyWindow) {
     start(keyedWithin(DeduplicationScope::all, milliseconds(400)));
     engine().request();
-    EXPECT_EQ(engine().sends.at(0).beginWithin, Duration::zero());
+    EXPECT_EQ(engine().sends.at(0).maxSendDelay, Duration::zero());
 
     engine().advance(milliseconds(150));
     engine().endAttempt(engine().sends[0], 0, Outcome::reset, false);
     ASSERT_EQ(engine().sends.size(), 2u);
-    EXPECT_EQ(engine().sends[1].beginWithin, milliseconds(250));
+    EXPECT_EQ(engine().sends[1].maxSendDelay, milliseconds(250));
 
     engine().advance(milliseconds(150));
     engine().endAttempt(engine().sends[1], 1, Outcome::connectFailed, false);
     ASSERT_EQ(engine().sends.size(), 3u);
-    EXPECT_EQ(engine().sends[2].beginWithin, milliseconds(100));
+    EXPECT_EQ(engine().sends[2].maxSendDelay, milliseconds(100));
 }
 
 TEST_F(RequestLifecycleTest, DoesNotLimitStartOfRetryWhenNoAttemptMayHaveRun) {
     start(keyedWithin(DeduplicationScope::all, milliseconds(400)));
     engine().request();
-    EXPECT_EQ(engine().sends.at(0).beginWithin, Duration::zero());
+    EXPECT_EQ(engine().sends.at(0).maxSendDelay, Duration::zero());
 
     engine().advance(milliseconds(150));
     engine().endAttempt(engine().sends[0], 0, Outcome::rejected, false);
     ASSERT_EQ(engine().sends.size(), 2u);
-    EXPECT_EQ(engine().sends[1].beginWithin, Duration::zero());
+    EXPECT_EQ(engine().sends[1].maxSendDelay, Duration::zero());
 
     engine().advance(milliseconds(150));
     engine().endAttempt(engine().sends[1], 1, Outcome::connectFailed, false);
     ASSERT_EQ(engine().sends.size(), 3u);
-    EXPECT_EQ(engine().sends[2].beginWithin, Duration::zero());
+    EXPECT_EQ(engine().sends[2].maxSendDelay, Duration::zero());
 }
 
 // ---- Final answers --------------------------------------------------------------------------------
