--- a/include/gateway/actions.h
+++ b/include/gateway/actions.h
@@ -39,7 +39,7 @@
 struct AddToCounter {
     std::string name;
     double amount = 0;
-    Duration keepFor{};  // time to live of the name on the counter
+    Duration timeToLive{};  // of the name on the counter service
 };
 
 // Start a timer. One TimerFired follows.
--- a/src/net/counter/counter_protocol.cpp
+++ b/src/net/counter/counter_protocol.cpp
@@ -30,7 +30,7 @@
 }  // namespace
 
 void appendCounterCall(std::string& text, const AddToCounter& call, std::string_view host) {
-    const auto timeToLive = std::max(milliseconds(1), std::chrono::ceil<milliseconds>(call.keepFor));
+    const auto timeToLive = std::max(milliseconds(1), std::chrono::ceil<milliseconds>(call.timeToLive));
     text.append("POST /v1/count/").append(call.name).append("?add=");
     appendDecimal(text, call.amount);
     text.append("&ttl_ms=").append(std::to_string(timeToLive.count()));
--- a/src/simulator/wire_writer.cpp
+++ b/src/simulator/wire_writer.cpp
@@ -40,7 +40,7 @@
     Message operator()(const AddToCounter& action) const {
         return {
             "postAmount",
-            {{"counter", action.name}, {"n", action.amount}, {"forgetAfterS", toSeconds(action.keepFor)}}};
+            {{"counter", action.name}, {"n", action.amount}, {"forgetAfterS", toSeconds(action.timeToLive)}}};
     }
     Message operator()(const SetTimer& action) const {
         return {"sleep",
--- a/tests/net/counter/counter_protocol_test.cpp
+++ b/tests/net/counter/counter_protocol_test.cpp
@@ -13,9 +13,9 @@
 using std::chrono::microseconds;
 using Progress = CounterResponseParser::Progress;
 
-std::string counterCall(double amount, Duration keepFor) {
+std::string counterCall(double amount, Duration timeToLive) {
     std::string text;
-    appendCounterCall(text, {"q1.2", amount, keepFor}, "127.0.0.1:9");
+    appendCounterCall(text, {"q1.2", amount, timeToLive}, "127.0.0.1:9");
     return text;
 }
 
