--- a/include/gateway/actions.h
+++ b/include/gateway/actions.h
@@ -45,7 +45,7 @@
 // Start a timer. One TimerFired follows.
 struct SetTimer {
     TimerId timer{};
-    Duration after{};
+    Duration delay{};
 };
 
 // Open a watch on discovery, and report each change of the endpoint set from now on.
--- a/src/decision/engine/event_context.h
+++ b/src/decision/engine/event_context.h
@@ -22,7 +22,7 @@
     void act(Action action) const { actions.push_back(std::move(action)); }
 
     // Appends the action that starts a timer.
-    void setTimer(const Timer& timer, Duration after) const { act(timers.start(timer, after)); }
+    void setTimer(const Timer& timer, Duration delay) const { act(timers.start(timer, delay)); }
 };
 
 }  // namespace gateway
--- a/src/decision/engine/timer_table.cpp
+++ b/src/decision/engine/timer_table.cpp
@@ -9,10 +9,10 @@
 
 }  // namespace
 
-SetTimer TimerTable::start(const Timer& timer, Duration after) {
+SetTimer TimerTable::start(const Timer& timer, Duration delay) {
     const TimerId id{++lastId_};
     timers_[id] = timer;
-    return SetTimer{id, std::max(after, kMinDelay)};
+    return SetTimer{id, std::max(delay, kMinDelay)};
 }
 
 std::optional<Timer> TimerTable::take(TimerId id) {
--- a/src/decision/engine/timer_table.h
+++ b/src/decision/engine/timer_table.h
@@ -31,7 +31,7 @@
 public:
     // Keeps `timer` under a new id and returns the action that starts it. A delay that is not positive is
     // replaced by the shortest one.
-    SetTimer start(const Timer& timer, Duration after);
+    SetTimer start(const Timer& timer, Duration delay);
 
     // Removes and returns the timer that fired; nothing for an id that is not running.
     std::optional<Timer> take(TimerId id);
--- a/src/simulator/wire_writer.cpp
+++ b/src/simulator/wire_writer.cpp
@@ -45,7 +45,7 @@
     Message operator()(const SetTimer& action) const {
         return {"sleep",
                 {{"ref", std::to_string(static_cast<std::uint64_t>(action.timer))},
-                 {"afterS", toSeconds(action.after)}}};
+                 {"afterS", toSeconds(action.delay)}}};
     }
     Message operator()(const WatchEndpoints&) const { return {"track", {{"active", true}}}; }
 };
--- a/tests/decision/engine/timer_table_test.cpp
+++ b/tests/decision/engine/timer_table_test.cpp
@@ -11,7 +11,7 @@
 TEST(TimerTableTest, ReturnsTimerOnce) {
     TimerTable timers;
     const SetTimer action = timers.start(CounterWaitOver{RequestKey{7}}, std::chrono::milliseconds(20));
-    EXPECT_EQ(action.after, std::chrono::milliseconds(20));
+    EXPECT_EQ(action.delay, std::chrono::milliseconds(20));
 
     const auto timer = timers.take(action.timer);
     ASSERT_TRUE(timer);
@@ -31,7 +31,7 @@
 TEST(TimerTableTest, ReplacesDelayThatIsNotPositive) {
     TimerTable timers;
     for (const Duration delay : {Duration(-5), Duration::zero()})
-        EXPECT_GT(timers.start(DiscoveryRetryDue{}, delay).after, Duration::zero());
+        EXPECT_GT(timers.start(DiscoveryRetryDue{}, delay).delay, Duration::zero());
 }
 
 }  // namespace
--- a/tests/support/engine_fixture.cpp
+++ b/tests/support/engine_fixture.cpp
@@ -72,7 +72,7 @@
 void EngineFixture::collect(const Action& action) {
     const Overloaded collector{
         [&](const AddToCounter& call) { add(call); },
-        [&](const SetTimer& timer) { timers.emplace(now + timer.after, timer.timer); },
+        [&](const SetTimer& timer) { timers.emplace(now + timer.delay, timer.timer); },
         [&](const SendAttempt& send) { sends.push_back(send); },
         [&](const RejectRequest& rejection) { rejections.push_back(rejection); },
         [&](const FailRequest& failure) { failures.push_back(failure); },
