--- a/include/gateway/events.h
+++ b/include/gateway/events.h
@@ -20,7 +20,7 @@
 
 // One endpoint as discovery lists it.
 struct EndpointEntry {
-    EndpointId endpoint;
+    EndpointId id;
     Availability availability = Availability::up;
     TimePoint startedAt{};  // latest start of its process; the epoch: long ago
     CellId cell{};          // for DeduplicationScope::cell
--- a/src/decision/upstream/endpoint_set.cpp
+++ b/src/decision/upstream/endpoint_set.cpp
@@ -15,7 +15,7 @@
 }
 
 void EndpointSet::applyEntry(const EndpointEntry& entry) {
-    Endpoint& endpoint = endpoints_[findOrAssignSlot(entry.endpoint)];
+    Endpoint& endpoint = endpoints_[findOrAssignSlot(entry.id)];
     const bool hasRestarted = endpoint.applyEntry(entry, limiter_.initialEndpointLimit());
     if (hasRestarted) slowStart_.startTokens(endpoint);
 }
--- a/src/decision/upstream/endpoint_subset.cpp
+++ b/src/decision/upstream/endpoint_subset.cpp
@@ -15,7 +15,7 @@
 constexpr Duration kSubsetLifetime = std::chrono::seconds(1);
 
 bool isNameLess(const Endpoint* a, const Endpoint* b) {
-    return a->entry().endpoint < b->entry().endpoint;
+    return a->entry().id < b->entry().id;
 }
 
 }  // namespace
--- a/src/decision/upstream/slow_start.cpp
+++ b/src/decision/upstream/slow_start.cpp
@@ -24,8 +24,7 @@
 
 void SlowStart::startTokens(Endpoint& endpoint) const {
     const EndpointEntry& entry = endpoint.entry();
-    const double tokens =
-        evenlySpreadFraction(entry.endpoint.value(), entry.startedAt, settings_.gatewayIndex);
+    const double tokens = evenlySpreadFraction(entry.id.value(), entry.startedAt, settings_.gatewayIndex);
     endpoint.slowStartTokens().start(tokens, servedWork_);
 }
 
--- a/src/net/discovery/endpoint_list.cpp
+++ b/src/net/discovery/endpoint_list.cpp
@@ -18,7 +18,7 @@
 ResolvedEndpoint readEndpoint(const Fields& fields, const EndpointVocabulary& vocabulary) {
     ResolvedEndpoint endpoint;
     EndpointEntry& entry = endpoint.entry;
-    entry.endpoint = EndpointId(fields.text("name"));
+    entry.id = EndpointId(fields.text("name"));
     entry.availability = fields.choice<Availability>("status", {{"in_service", Availability::up},
                                                                 {"terminating", Availability::draining},
                                                                 {"terminated", Availability::removed}});
--- a/src/net/upstream/upstream_endpoint_table.cpp
+++ b/src/net/upstream/upstream_endpoint_table.cpp
@@ -23,7 +23,7 @@
     std::erase_if(endpoints_, [&](const auto& known) {
         const bool isListed =
             std::any_of(snapshot.endpoints.begin(), snapshot.endpoints.end(),
-                        [&](const ResolvedEndpoint& listed) { return listed.entry.endpoint == known.first; });
+                        [&](const ResolvedEndpoint& listed) { return listed.entry.id == known.first; });
         if (!isListed) startDraining(*known.second);
         return !isListed;
     });
@@ -32,11 +32,11 @@
 void UpstreamEndpointTable::updateEndpoint(const ResolvedEndpoint& listed) {
     const EndpointEntry& entry = listed.entry;
     if (entry.availability == Availability::removed) {
-        remove(entry.endpoint);
+        remove(entry.id);
         return;
     }
-    std::shared_ptr<UpstreamEndpoint>& endpoint = endpoints_[entry.endpoint];
-    if (!endpoint) endpoint = std::make_shared<UpstreamEndpoint>(entry.endpoint);
+    std::shared_ptr<UpstreamEndpoint>& endpoint = endpoints_[entry.id];
+    if (!endpoint) endpoint = std::make_shared<UpstreamEndpoint>(entry.id);
     // A process that was restarted knows nothing of its predecessor's connections.
     if (endpoint->isReplacedBy(listed)) closeIdleConnections_(*endpoint);
     if (entry.availability == Availability::up)
--- a/src/simulator/wire_reader.cpp
+++ b/src/simulator/wire_reader.cpp
@@ -42,7 +42,7 @@
 
 EndpointEntry readEndpoint(const Fields& fields) {
     EndpointEntry entry;
-    entry.endpoint = readEndpointId(fields);
+    entry.id = readEndpointId(fields);
     entry.availability = fields.choice<Availability>(
         "availability",
         {{"IN", Availability::up}, {"LAME", Availability::draining}, {"OUT", Availability::removed}});
--- a/tests/decision/upstream/endpoint_set_test.cpp
+++ b/tests/decision/upstream/endpoint_set_test.cpp
@@ -18,7 +18,7 @@
 
     static EndpointEntry entry(const std::string& name, Availability availability = Availability::up) {
         EndpointEntry entry;
-        entry.endpoint = EndpointId(name);
+        entry.id = EndpointId(name);
         entry.availability = availability;
         return entry;
     }
@@ -55,12 +55,12 @@
     endpoints.apply(updateOf(UpdateKind::snapshot, {entry("w0")}), kNow);
     endpoints.at(0).beginAttempt(1);
     endpoints.apply(updateOf(UpdateKind::delta, {entry("w0", Availability::removed), entry("w1")}), kNow);
-    EXPECT_EQ(endpoints.at(0).entry().endpoint.value(), "w0");
+    EXPECT_EQ(endpoints.at(0).entry().id.value(), "w0");
     EXPECT_EQ(endpoints.slots().size(), 2u);
     endpoints.at(0).endAttempt();
     endpoints.apply(updateOf(UpdateKind::delta, {}), kNow);
     endpoints.apply(updateOf(UpdateKind::delta, {entry("w2")}), kNow);
-    EXPECT_EQ(endpoints.at(0).entry().endpoint.value(), "w2");
+    EXPECT_EQ(endpoints.at(0).entry().id.value(), "w2");
     EXPECT_EQ(endpoints.slots().size(), 2u);
 }
 
--- a/tests/decision/upstream/endpoint_test.cpp
+++ b/tests/decision/upstream/endpoint_test.cpp
@@ -16,7 +16,7 @@
 
     static EndpointEntry entry(Availability availability, TimePoint startedAt = {}) {
         EndpointEntry entry;
-        entry.endpoint = EndpointId("e0");
+        entry.id = EndpointId("e0");
         entry.availability = availability;
         entry.startedAt = startedAt;
         return entry;
--- a/tests/decision/upstream/slow_start_test.cpp
+++ b/tests/decision/upstream/slow_start_test.cpp
@@ -21,7 +21,7 @@
 
     static EndpointEntry entryStartedAt(TimePoint startedAt) {
         EndpointEntry entry;
-        entry.endpoint = EndpointId("w0");
+        entry.id = EndpointId("w0");
         entry.startedAt = startedAt;
         return entry;
     }
--- a/tests/decision/upstream/upstream_engine_test.cpp
+++ b/tests/decision/upstream/upstream_engine_test.cpp
@@ -23,7 +23,7 @@
 
 EndpointEntry UpstreamEngineTest::entry(const std::string& name, Availability availability, CellId cell) {
     EndpointEntry entry;
-    entry.endpoint = EndpointId(name);
+    entry.id = EndpointId(name);
     entry.availability = availability;
     entry.cell = cell;
     return entry;
--- a/tests/net/discovery/endpoint_list_test.cpp
+++ b/tests/net/discovery/endpoint_list_test.cpp
@@ -27,7 +27,7 @@
     ASSERT_EQ(list.endpoints.size(), 1U);
     const ResolvedEndpoint& endpoint = list.endpoints.front();
     EXPECT_EQ(endpoint.address, parseAddress("10.1.0.18:7070", "test"));
-    EXPECT_EQ(endpoint.entry.endpoint, EndpointId("s-1"));
+    EXPECT_EQ(endpoint.entry.id, EndpointId("s-1"));
     EXPECT_EQ(endpoint.entry.availability, Availability::up);
     EXPECT_EQ(endpoint.entry.zone, ZoneId{1});
     EXPECT_EQ(endpoint.entry.kind, MachineKind{1});
--- a/tests/net/upstream/upstream_endpoint_table_test.cpp
+++ b/tests/net/upstream/upstream_endpoint_table_test.cpp
@@ -16,7 +16,7 @@
 
     static ResolvedEndpoint listed(const std::string& name, Availability availability = Availability::up) {
         ResolvedEndpoint endpoint;
-        endpoint.entry.endpoint = EndpointId{name};
+        endpoint.entry.id = EndpointId{name};
         endpoint.entry.availability = availability;
         endpoint.address = {boost::asio::ip::address_v4::loopback(), kPort};
         return endpoint;
--- a/tests/support/engine_fixture.cpp
+++ b/tests/support/engine_fixture.cpp
@@ -53,7 +53,7 @@
 
 EndpointEntry EngineFixture::entry(const std::string& id, CellId cell) {
     EndpointEntry entry;
-    entry.endpoint = EndpointId(id);
+    entry.id = EndpointId(id);
     entry.cell = cell;
     return entry;
 }
--- a/tests/support/slow_start_fleet.cpp
+++ b/tests/support/slow_start_fleet.cpp
@@ -119,9 +119,9 @@
 
 std::size_t SlowStartFleet::startEndpoint(const std::string& name, TimePoint startedAt) {
     StandInEndpoint endpoint;
-    endpoint.entry.endpoint = EndpointId(name);
+    endpoint.entry.id = EndpointId(name);
     endpoint.entry.startedAt = startedAt;
-    endpointByName_[endpoint.entry.endpoint] = endpoints_.size();
+    endpointByName_[endpoint.entry.id] = endpoints_.size();
     endpoints_.push_back(std::move(endpoint));
     for (Gateway& gateway : gateways_) {
         gateway.knownEndpoints.emplace_back();
@@ -184,7 +184,7 @@
                                          bool keepsName) {
     schedule(when, [this, endpoint] { drainEndpoint(endpoint); });
     if (keepsName) {
-        const std::string name = endpoints_[endpoint].entry.endpoint.value();
+        const std::string name = endpoints_[endpoint].entry.id.value();
         schedule(when + kDrainTime + kMaxAnnouncementDelay, [this, name] { startAndAnnounce(name); });
     } else {
         const std::string name = "t" + paddedNumber(drawBelow(kNameStride) * kNameStride + number);
--- a/tests/support/slow_start_fleet_endpoints.cpp
+++ b/tests/support/slow_start_fleet_endpoints.cpp
@@ -86,7 +86,7 @@
     AttemptEnded ended;
     ended.request = RequestId(std::to_string(attempt.request));
     ended.attempt = attempt.number;
-    ended.endpoint = endpoint.entry.endpoint;
+    ended.endpoint = endpoint.entry.id;
     ended.outcome = outcome;
     ended.elapsed = now_ - attempt.sentAt;
     ended.requestClosed = outcome == Outcome::ok || now_ >= request.deadline;
