--- a/src/decision/common/arithmetic.cpp
+++ b/src/decision/common/arithmetic.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::uint64_t kFnvOffset = 0xcbf29ce484222325;
 constexpr std::uint64_t kFnvPrime = 0x100000001b3;
-constexpr std::uint64_t kGoldenRatio = 0x9e3779b97f4a7c15;  // its fraction, times 2^64
+constexpr std::uint64_t kGoldenRatio = 0x9e3779b97f4a7c15;  // its fractional part, times 2^64
 constexpr int kHalfWidthBits = 32;
 
 // FNV-1a of the name, seeded with the start time.
--- a/src/decision/common/arithmetic.h
+++ b/src/decision/common/arithmetic.h
@@ -21,14 +21,14 @@
     return Duration(std::llround(seconds * 1e6));
 }
 
-// The exponential moving average `mean` after one more sample. `weight`: of the sample, from 0 to 1.
+// Updates an exponential moving average with one sample. `weight`: of the sample, from 0 to 1.
 inline double movingAverage(double mean, double sample, double weight) {
     return mean + (sample - mean) * weight;
 }
 
-// A fraction in [0, 1) for each gateway of a fleet. The fractions of consecutive gateway indices are spread
-// evenly over the interval, as the multiples of the golden ratio are. `name` and `start` shift all of them by
-// the same amount.
+// Returns a fraction in [0, 1) for each gateway of a fleet. The fractions of consecutive gateway indices are
+// spread evenly over the interval, like the fractional parts of the multiples of the golden ratio. `name` and
+// `start` shift all of them by the same amount, modulo 1.
 double evenlySpreadFraction(std::string_view name, TimePoint start, int gatewayIndex);
 
 }  // namespace gateway
--- a/src/decision/common/fleet_size.h
+++ b/src/decision/common/fleet_size.h
@@ -1,5 +1,5 @@
-// When a fleet of gateways counts as large. In a large one each gateway uses a subset of the endpoints and
-// starts with a lower concurrency limit.
+// Tells large fleets of gateways from small ones. In a large fleet, each gateway uses a subset of the
+// endpoints and starts with a lower concurrency limit.
 #pragma once
 
 #include "gateway/settings.h"
--- a/src/decision/common/overloaded.h
+++ b/src/decision/common/overloaded.h
@@ -1,9 +1,9 @@
-// A visitor for std::visit that is made of lambdas.
+// Combines lambdas into one visitor for std::visit.
 #pragma once
 
 namespace gateway {
 
-// Calls the operator() of the callable whose parameter matches.
+// Calls the callable whose parameter type matches the argument.
 template <class... Callables>
 struct Overloaded : Callables... {
     using Callables::operator()...;
--- a/src/decision/common/random_source.h
+++ b/src/decision/common/random_source.h
@@ -1,4 +1,4 @@
-// The random draws of one decision engine.
+// Random numbers of one decision engine.
 #pragma once
 
 #include <cstdint>
@@ -8,13 +8,13 @@
 
 namespace gateway {
 
-// The draws depend on the seed alone, on every platform. std::uniform_real_distribution does not guarantee
-// that.
+// Generates the same sequence for the same seed on every platform, which std::uniform_real_distribution does
+// not guarantee.
 class RandomSource {
 public:
     explicit RandomSource(std::uint64_t seed) : generator_(seed) {}
 
-    // The next draw, uniform in [0, 1).
+    // Returns the next number, uniformly distributed in [0, 1).
     double next() { return toUnitInterval(generator_()); }
 
 private:
--- a/src/decision/common/unit_interval.h
+++ b/src/decision/common/unit_interval.h
@@ -1,4 +1,4 @@
-// Maps 64 random or hashed bits to a fraction.
+// Maps 64 random or hashed bits to a fraction in [0, 1).
 #pragma once
 
 #include <cstdint>
@@ -6,7 +6,7 @@
 
 namespace gateway {
 
-// A number in [0, 1) that is made of the upper bits, as many as a double holds exactly.
+// Uses the upper bits, as many as a double represents exactly.
 inline double toUnitInterval(std::uint64_t bits) {
     constexpr int kMantissaBits = std::numeric_limits<double>::digits;
     constexpr int kUnusedBits = std::numeric_limits<std::uint64_t>::digits - kMantissaBits;
--- a/src/decision/engine/attempt_dispatcher.h
+++ b/src/decision/engine/attempt_dispatcher.h
@@ -1,4 +1,4 @@
-// Sends attempts to endpoints, and feeds their outcomes back to the modules that choose and limit them.
+// Sends attempts to endpoints, and reports their outcomes to the modules that choose and limit them.
 #pragma once
 
 #include "decision/engine/event_context.h"
@@ -20,12 +20,12 @@
                       ConcurrencyLimiter& limiter, EndpointSet& endpoints, EndpointPicker& picker,
                       RetryPolicy& retries);
 
-    // Sends the next attempt of the request. False when the time is up, the concurrency limit is reached or
-    // no endpoint may receive it; then nothing was changed for the request.
+    // Sends the next attempt of the request and returns true. Returns false and leaves the request unchanged
+    // if its time is up, the concurrency limit is reached or no endpoint may receive the attempt.
     bool trySend(EventContext& context, Request& request);
 
-    // Ends an attempt of the request that is in flight, and learns from its outcome. Precondition:
-    // `ended.attempt` is the position of that attempt.
+    // Records the end of an attempt in the request and in the statistics and limits of its endpoint.
+    // Precondition: `ended.attempt` is the position of an attempt of the request that is in flight.
     void recordEnd(Request& request, const AttemptEnded& ended, TimePoint now);
 
 private:
--- a/src/decision/engine/decision_engine.cpp
+++ b/src/decision/engine/decision_engine.cpp
@@ -37,8 +37,8 @@
 
 }  // namespace
 
-// Owns the modules and routes each event to the one that handles it. The modules refer to one another, so
-// they are declared in the order of their dependencies and never move.
+// Owns the modules and routes each event to the one that handles it. The modules hold references to one
+// another, so they are declared in the order of their dependencies, and an Impl can't be copied or moved.
 class DecisionEngine::Impl {
 public:
     Impl(Settings settings, std::uint64_t seed);
--- a/src/decision/engine/endpoint_watch.cpp
+++ b/src/decision/engine/endpoint_watch.cpp
@@ -6,7 +6,7 @@
 namespace gateway {
 namespace {
 
-// Tries within the longest poll interval while discovery can't be reached.
+// Retries within the max poll interval while discovery can't be reached.
 constexpr int kRetriesPerPollInterval = 8;
 constexpr Duration kMinRetryDelay = std::chrono::milliseconds(200);
 
--- a/src/decision/engine/endpoint_watch.h
+++ b/src/decision/engine/endpoint_watch.h
@@ -1,4 +1,4 @@
-// Keeps the endpoint set up to date from what discovery reports, and asks for the watch where it is polled.
+// Applies the updates of discovery to the endpoint set, and opens the watch if discovery is polled.
 #pragma once
 
 #include "decision/engine/event_context.h"
@@ -13,10 +13,10 @@
     // All arguments must outlive the watch.
     EndpointWatch(const Settings& settings, EndpointSet& endpoints, ConcurrencyLimiter& limiter);
 
-    // Applies the update. A failed one leaves the set as it is and schedules another try.
+    // Applies the update. A failed update leaves the set unchanged and schedules a retry of the watch.
     void onEndpointUpdate(EventContext& context, const EndpointUpdate& update);
 
-    // Opens the watch again.
+    // Opens the watch again after a failed update.
     static void onRetryDue(EventContext& context);
 
 private:
--- a/src/decision/engine/event_context.h
+++ b/src/decision/engine/event_context.h
@@ -10,15 +10,14 @@
 
 namespace gateway {
 
-// Lives as long as the handling of one event. Does not own what it refers to.
+// Exists while one event is handled. Does not own the objects that it refers to.
 struct EventContext {
     TimePoint now;              // when the event happens
     TimePoint engineStartedAt;  // when the engine handled its first event
-    Actions& actions;           // appended to in the order in which they are to be done
+    Actions& actions;           // in the order in which the caller executes them
     RandomSource& random;
     TimerTable& timers;
 
-    // Appends an action.
     void act(Action action) const { actions.push_back(std::move(action)); }
 
     // Appends the action that starts a timer.
--- a/src/decision/engine/request_key.h
+++ b/src/decision/engine/request_key.h
@@ -5,7 +5,7 @@
 
 namespace gateway {
 
-// Chosen by the engine. Unlike the id that a client chose, a key is never used twice.
+// Assigned by the engine. Unlike the id that the client chooses, a key is never reused.
 enum class RequestKey : std::uint64_t { none = 0 };
 
 }  // namespace gateway
--- a/src/decision/engine/request_lifecycle.cpp
+++ b/src/decision/engine/request_lifecycle.cpp
@@ -8,10 +8,10 @@
 namespace gateway {
 namespace {
 
-// Share of the latency objective that a request waits for the counter at most.
+// Longest wait for the counter, as a share of the latency objective.
 constexpr double kMaxCounterWaitShare = 0.1;
 
-// Share of a class's expected time that must be left to the client for an attempt to make sense.
+// Time until the client's deadline that an attempt needs, as a share of the expected response time.
 constexpr double kMinRemainingTimeShare = 0.3;
 
 }  // namespace
@@ -31,7 +31,7 @@
 
 void RequestLifecycle::onRequestArrived(EventContext& context, const RequestArrived& arrival) {
     Request& request = requests_.add(arrival, context.now);
-    // The counter is not called for a client that is about to give up: its reply would come too late.
+    // A request without enough time is answered without a call to the counter: the reply would be too late.
     if (!hasTimeToBeServed(request, context.now)) {
         answerUnserved(context, request, Duration{});
     } else if (planOf(request) == nullptr) {
@@ -134,7 +134,7 @@
     }
 }
 
-// A quota counts a request that reached an endpoint; a ceiling counts it as soon as an attempt was sent.
+// A quota charges a request that reached an endpoint. A ceiling also charges one that failed to connect.
 void RequestLifecycle::recordReached(Request& request, Outcome outcome) const {
     const QuotaPlan* plan = planOf(request);
     const bool hasCeiling = plan != nullptr && plan->ceilingRate > 0;
@@ -150,7 +150,7 @@
         ledger_.reconcile(context, *tenant, request, *ended.actualCost - request.arrival.cost);
 }
 
-// ---- The end --------------------------------------------------------------------------------------
+// ---- Final answers and disconnects ----------------------------------------------------------------
 
 void RequestLifecycle::answerUnserved(EventContext& context, Request& request, Duration retryAfter) {
     if (retries_.isClientRetrySafe(request, context.now)) {
--- a/src/decision/engine/request_lifecycle.h
+++ b/src/decision/engine/request_lifecycle.h
@@ -1,8 +1,8 @@
-// The life of a request: admission by its tenant's quota, attempts and retries, the final answer.
+// The lifecycle of a request: admission by its tenant's quota, attempts and retries, the final answer.
 //
-// Every request that arrived gets exactly one final answer: an endpoint's response, which the caller passes
-// on when an attempt succeeds, or RejectRequest or FailRequest from here. A request whose client disconnected
-// gets none.
+// Every request gets exactly one final answer: the response of the endpoint, which the caller forwards when
+// an attempt succeeds, or else RejectRequest or FailRequest. A request whose client disconnects first gets
+// none.
 #pragma once
 
 #include "decision/engine/attempt_dispatcher.h"
@@ -19,41 +19,41 @@
 
 class RequestLifecycle {
 public:
-    // What a request needs of the quota: the tenants, and the modules that charge them.
+    // The tenants and the modules that charge them.
     struct Quota {
         TenantTable& tenants;
         CounterLedger& ledger;
         QuotaAdmission& admission;
     };
 
-    // What a request needs to reach an endpoint.
+    // The modules that send a request to endpoints.
     struct Upstream {
         const LatencyStats& latency;
         RetryPolicy& retries;
         AttemptDispatcher& attempts;
     };
 
-    // All arguments, and what they refer to, must outlive the lifecycle.
+    // All arguments, and the objects that they refer to, must outlive this object.
     RequestLifecycle(const Settings& settings, RequestTable& requests, const Quota& quota,
                      const Upstream& upstream);
 
-    // Admits the request, rejects it, or lets it wait for the counter's reply.
+    // Forwards the request, rejects it, or lets it wait for the counter's replies.
     void onRequestArrived(EventContext& context, const RequestArrived& arrival);
 
-    // Decides on the requests that waited for the counter's reply.
+    // Decides on the admission of the requests that waited for the counter's replies.
     void onCounterReplied(EventContext& context, const CounterReplied& reply);
 
-    // Decides on the request without the counter's reply.
+    // Decides on the admission of the request without the counter's replies.
     void onCounterWaitOver(EventContext& context, const CounterWaitOver& timer);
 
-    // Learns from the attempt, reconciles the actual cost, and retries or answers the request unless it is
+    // Records the outcome, reconciles the actual cost, and retries or answers the request unless it is
     // closed. Ignores an attempt that is not in flight.
     void onAttemptEnded(EventContext& context, const AttemptEnded& ended);
 
-    // The request's attempt can't be cancelled any more.
+    // Records that the request's attempts can no longer be cancelled.
     void onStreamStarted(const StreamStarted& started);
 
-    // Cancels the request's attempts, and refunds its charge if it was not forwarded.
+    // Cancels the request's attempts, and refunds its charge if its admission was not decided yet.
     void onClientDisconnected(EventContext& context, const ClientDisconnected& disconnected);
 
 private:
--- a/src/decision/engine/request_table.h
+++ b/src/decision/engine/request_table.h
@@ -1,4 +1,4 @@
-// The requests in flight, by their keys and by the ids that clients chose.
+// The requests in flight, by their keys and by the ids that clients choose.
 #pragma once
 
 #include <cstdint>
@@ -12,11 +12,11 @@
 // References to a request stay valid until the request is erased.
 class RequestTable {
 public:
-    // Adds a request under a new key. A request in flight with the same client id is no longer found by that
-    // id.
+    // Adds a request under a new key. A request in flight with the same id is from then on found by its key
+    // only.
     Request& add(const RequestArrived& arrival, TimePoint now);
 
-    // Null when no such request is in flight.
+    // Return null if no such request is in flight.
     Request* find(RequestKey key);
     Request* find(const RequestId& id);
 
--- a/src/decision/engine/timer_table.h
+++ b/src/decision/engine/timer_table.h
@@ -1,4 +1,4 @@
-// The running timers of the decision engine, and what each one is for.
+// The running timers of the decision engine and their purposes.
 #pragma once
 
 #include <cstdint>
@@ -12,28 +12,28 @@
 
 namespace gateway {
 
-// The longest wait of a request for the counter's replies is over.
+// A request has waited for the counter's replies as long as it may.
 struct CounterWaitOver {
     RequestKey request = RequestKey::none;
 };
 
-// The amounts that are pending for a window slice are to be posted to the counter.
+// The amounts pending for a window slice must be posted to the counter.
 struct FlushDue {
     SliceKey slice;
 };
 
-// Discovery could not be reached; the endpoint watch is to be opened again.
+// The endpoint watch must be opened again, since discovery could not be reached.
 struct DiscoveryRetryDue {};
 
 using Timer = std::variant<CounterWaitOver, FlushDue, DiscoveryRetryDue>;
 
 class TimerTable {
 public:
-    // Keeps `timer` under a new id and returns the action that starts it. A delay that is not positive is
-    // replaced by the shortest one.
+    // Stores `timer` under a new id and returns the action that starts it. A delay that is not positive is
+    // replaced by the shortest possible delay.
     SetTimer start(const Timer& timer, Duration delay);
 
-    // Removes and returns the timer that fired; nothing for an id that is not running.
+    // Removes and returns the timer that fired. Returns nothing if no such timer is running.
     std::optional<Timer> take(TimerId id);
 
 private:
