--- a/src/decision/upstream/attempt_sample.h
+++ b/src/decision/upstream/attempt_sample.h
@@ -1,9 +1,9 @@
-// What one finished attempt shows about its endpoint and about the load.
+// Measurements of one finished attempt.
 #pragma once
 
 namespace gateway {
 
-// Share of slow responses at which the concurrency limit settles.
+// Share of slow responses at which the concurrency limit is stable.
 constexpr double kTargetSlowShare = 0.1;
 
 // Share of its latency objective above which a response counts as slow.
@@ -19,7 +19,7 @@
     bool slow = false;        // a slow response, or a timeout
     bool overloaded = false;  // slow, or rejected by the endpoint
 
-    // Whether the elapsed time is a measure of the endpoint's speed.
+    // Whether the elapsed time measures the speed of the endpoint.
     bool hasLatency() const { return served || timedOut; }
 };
 
--- a/src/decision/upstream/concurrency_limiter.h
+++ b/src/decision/upstream/concurrency_limiter.h
@@ -1,5 +1,5 @@
-// Limits this gateway's attempts in flight over all endpoints. The limit for one endpoint is
-// EndpointConcurrencyLimit.
+// Limits this gateway's attempts in flight at all endpoints together. EndpointConcurrencyLimit limits those
+// at one endpoint.
 #pragma once
 
 #include <cstddef>
@@ -11,25 +11,25 @@
 
 namespace gateway {
 
-// Sheds load before the endpoints' queues grow so long that no request meets its latency objective, whatever
-// the cause: too many requests, endpoints that were lost, or slow machines. The limit settles where
+// Sheds load before the endpoints' queues grow so long that no request meets its latency objective, whether
+// the cause is too many requests, a loss of endpoints or slow machines. The limit is stable while
 // kTargetSlowShare of the responses are slow. Costly requests lower it as well, which reduces throughput only
 // while the limit is reached.
 //
 // Invariants: the number of attempts in flight is never negative; once initialized, the limit stays above 0.
 class ConcurrencyLimiter {
 public:
-    // Reads the settings only here.
+    // Does not keep a reference to `settings`.
     explicit ConcurrencyLimiter(const Settings& settings);
 
-    // Sets the initial limit when the first endpoint list is known. Later calls change nothing. Until then no
-    // attempt may begin.
+    // Sets the initial limit when the first endpoint list is known; no attempt may begin before that. Later
+    // calls change nothing.
     void initializeLimit(std::size_t endpointCount);
 
-    // Initial limit for this gateway's attempts at one endpoint, at least 1.
+    // Returns the initial limit for this gateway's attempts at one endpoint, at least 1.
     double initialEndpointLimit() const;
 
-    // Whether one more attempt may begin. The fractional part of the limit is met by a random draw.
+    // Whether one more attempt may begin. A random number decides on the fractional part of the limit.
     bool hasCapacity(RandomSource& random) const { return inFlight_ + random.next() < maxInFlight_; }
 
     void beginAttempt() { ++inFlight_; }
@@ -37,7 +37,7 @@
     // Precondition: an attempt is in flight.
     void endAttempt() { --inFlight_; }
 
-    // Adapts the limit to an attempt that ended.
+    // Adapts the limit to the outcome of an attempt.
     void observe(const AttemptSample& sample, Outcome outcome);
 
 private:
@@ -45,10 +45,10 @@
 
     void updateMedian(const AttemptSample& sample);
 
-    double initialEndpointShare_;  // attempts at one endpoint with which this gateway starts
+    double initialEndpointShare_;  // initial limit of this gateway for one endpoint
     int inFlight_ = 0;
-    double maxInFlight_ = 0;                                      // 0: the endpoint list is not known yet
-    double medianObjectiveShare_ = kInitialMedianObjectiveShare;  // of response times in latency objectives
+    double maxInFlight_ = 0;                                      // 0 until the endpoint list is known
+    double medianObjectiveShare_ = kInitialMedianObjectiveShare;  // of AttemptSample::objectiveShare
 };
 
 }  // namespace gateway
--- a/src/decision/upstream/endpoint.h
+++ b/src/decision/upstream/endpoint.h
@@ -1,4 +1,4 @@
-// One endpoint as this gateway knows it: its entry in the endpoint list and what its attempts have shown.
+// The state of one endpoint in this gateway: its entry in the endpoint list, its statistics and its limits.
 #pragma once
 
 #include "decision/upstream/attempt_sample.h"
@@ -19,12 +19,11 @@
         entry_.availability = Availability::removed;
     }
 
-    // Takes over the endpoint's entry in the list. When the endpoint has restarted, its state is discarded
-    // except for the attempts in flight, its concurrency limit starts over with `maxInFlight`, and the return
-    // value is true.
+    // Replaces the endpoint's entry. If the endpoint has restarted since the previous entry, discards all
+    // state except the attempts in flight, resets the concurrency limit to `maxInFlight` and returns true.
     bool applyEntry(const EndpointEntry& entry, double maxInFlight);
 
-    // The endpoint is no longer listed.
+    // Records that the endpoint is no longer listed.
     void markRemoved();
 
     const EndpointEntry& entry() const { return entry_; }
@@ -32,16 +31,18 @@
     // Whether the endpoint is listed and not draining.
     bool isUsable() const { return usable_; }
 
-    // Whether the endpoint is no longer listed and has no attempt in flight, so that it can be forgotten.
+    // Whether the endpoint is no longer listed and has no attempt in flight, so that its slot can be reused.
     bool isUnused() const { return entry_.availability == Availability::removed && inFlight() == 0; }
 
-    // An attempt is sent to the endpoint. `work`: in requests of mean work.
+    // Counts an attempt that is sent to the endpoint, and spends its slow start tokens. `work`: in requests
+    // of mean work.
     void beginAttempt(double work);
 
-    // An attempt at the endpoint is over. Precondition: one is in flight.
+    // Counts the end of an attempt. Precondition: an attempt is in flight.
     void endAttempt() { concurrency_.endAttempt(); }
 
-    // Learns from an attempt that is over. Precondition: endAttempt() was called for it.
+    // Updates the statistics and limits with the outcome of an attempt. Precondition: endAttempt() was called
+    // for it.
     void observeAttempt(const AttemptEnded& ended, const AttemptSample& sample, TimePoint now);
 
     // Attempts of this gateway in flight at the endpoint.
@@ -55,8 +56,8 @@
     const SlowStartTokens& slowStartTokens() const { return slowStartTokens_; }
     SlowStartTokens& slowStartTokens() { return slowStartTokens_; }
 
-    // Share of the warm endpoints, or of those that are warming up, that this gateway's subset contains.
-    // 0: the subset does not contain this endpoint.
+    // The share of the endpoints on this endpoint's subsetting ring that this gateway's subset contains; 0 if
+    // the subset does not contain this endpoint.
     double subsetShare() const { return subsetShare_; }
     bool isInSubset() const { return subsetShare_ > 0; }
     void setSubsetShare(double share) { subsetShare_ = share; }
--- a/src/decision/upstream/endpoint_concurrency_limit.h
+++ b/src/decision/upstream/endpoint_concurrency_limit.h
@@ -12,7 +12,7 @@
     // `maxInFlight`: initial limit in attempts, at least 1.
     explicit EndpointConcurrencyLimit(double maxInFlight) : maxInFlight_(maxInFlight) {}
 
-    // Whether one more attempt stays within the limit.
+    // Whether one more attempt is within the limit.
     bool hasCapacity() const { return inFlight_ + 1 <= maxInFlight_; }
 
     int inFlight() const { return inFlight_; }
@@ -23,11 +23,11 @@
     // Precondition: an attempt is in flight.
     void endAttempt() { --inFlight_; }
 
-    // Adapts the limit to an attempt that ended. An overloaded endpoint lowers it, at most once per response
-    // time. A response raises it while the limit is nearly used up.
+    // Adapts the limit to the outcome of an attempt. A sign of overload lowers the limit, at most once per
+    // mean response time. Any other response raises it while the limit is nearly reached.
     void observe(const AttemptSample& sample, TimePoint now);
 
-    // Starts over with the initial limit `maxInFlight`. Attempts in flight stay counted until they end.
+    // Resets the limit to `maxInFlight`. Attempts in flight remain counted until they end.
     void reset(double maxInFlight);
 
 private:
--- a/src/decision/upstream/endpoint_load.h
+++ b/src/decision/upstream/endpoint_load.h
@@ -1,4 +1,4 @@
-// Load and speed of one endpoint, as its reports and responses show them.
+// Load and speed of one endpoint, estimated from its load reports and response times.
 #pragma once
 
 #include "decision/upstream/attempt_sample.h"
@@ -6,22 +6,22 @@
 
 namespace gateway {
 
-// Invariants: the estimate of other gateways' attempts is never negative; the slowness stays within 0 and
-// the upper bound for one sample.
+// Invariants: the estimate of other gateways' attempts is never negative; the slowness lies between 0 and the
+// upper bound for one sample.
 class EndpointLoad {
 public:
-    // Takes in the number of requests in flight that the endpoint reports, over all gateways.
-    // `ownInFlight`: attempts of this gateway among them.
+    // Records the number of requests in flight that the endpoint reported, over all gateways. `ownInFlight`:
+    // attempts of this gateway among them.
     void recordReport(double reportedInFlight, int ownInFlight);
 
-    // Takes in the latency of a finished attempt. An attempt without a latency changes only the time of the
-    // latest outcome.
+    // Records the latency of a finished attempt. An attempt without a latency changes only observedAt().
     void recordAttempt(const AttemptSample& sample, TimePoint now);
 
     // Estimate of the attempts that the other gateways have in flight at the endpoint.
     double remoteInFlight() const { return remoteInFlight_; }
 
-    // Mean latency of the endpoint, in mean latencies of the requests' classes. 1: as fast as the fleet.
+    // Mean latency of the endpoint relative to the mean latency of the request class over all endpoints. 1:
+    // as fast as the mean endpoint.
     double slowness() const { return slowness_; }
 
     // Time of the latest outcome; the epoch if there was none.
--- a/src/decision/upstream/endpoint_picker.cpp
+++ b/src/decision/upstream/endpoint_picker.cpp
@@ -12,10 +12,10 @@
 namespace {
 
 constexpr double kCrossZoneCostMultiplier = 1.1;
-constexpr double kProbationCostMultiplier = 4;   // for requests that are not safe to repeat
+constexpr double kProbationCostMultiplier = 4;   // for requests that are not safe to retry
 constexpr double kRepeatedCostMultiplier = 100;  // for each earlier attempt of the request at the endpoint
 constexpr double kErrorRateWeight = 3;
-constexpr double kJitterShare = 0.1;  // keeps gateways with the same view from choosing the same endpoint
+constexpr double kJitterShare = 0.1;  // keeps gateways with equal statistics from choosing the same endpoint
 constexpr double kMinSlowness = 0.2;
 constexpr double kMinEffectiveWeight = 1e-3;
 
@@ -70,8 +70,8 @@
     return OutlierDetector::isEjectionAllowed(ejected, usable);
 }
 
-// Whether the endpoint recognizes a repeat of the request. Only a request that may have run and is not safe
-// to repeat needs that.
+// Whether the request may be sent to the endpoint without the risk that it is executed twice. A request that
+// may have run and is not safe to retry needs an endpoint that recognizes its key.
 bool EndpointPicker::canDeduplicate(const Endpoint& endpoint, const Request& request) const {
     const RequestClass& terms = termsOf(request);
     if (!request.possibleRun || terms.idempotency == Idempotency::safe) return true;
@@ -88,7 +88,8 @@
 
 double EndpointPicker::baseCost(const Endpoint& endpoint, double capacityShare, TimePoint now,
                                 RandomSource& random) const {
-    // Under low local traffic, an endpoint that is warming up receives the attempt that its tokens cover.
+    // Under low local traffic, an endpoint that is warming up is preferred as soon as its tokens cover an
+    // attempt.
     if (stats_.hasLowLocalTraffic() && capacityShare < 1) return 0;
     const double freshness = stats_.freshness(endpoint.load(), now);
     const double slowness = std::max(1 + (endpoint.load().slowness() - 1) * freshness, kMinSlowness);
@@ -99,9 +100,9 @@
            (1 + kJitterShare * random.next());
 }
 
-// Attempts of all gateways that the endpoint would have in flight with this one.
+// Returns the attempts of all gateways that the endpoint would have in flight, the next one included.
 double EndpointPicker::expectedInFlight(const Endpoint& endpoint, double freshness) const {
-    // Without load reports, assume that every gateway has as many in flight as this one.
+    // Without load reports, every gateway is assumed to have as many in flight as this one.
     if (settings_.loadReportSource != LoadReportSource::inResponses)
         return 1 + endpoint.inFlight() * static_cast<double>(settings_.gatewayCount);
     const double mean = stats_.meanRemoteInFlight();
--- a/src/decision/upstream/endpoint_picker.h
+++ b/src/decision/upstream/endpoint_picker.h
@@ -13,8 +13,9 @@
 
 namespace gateway {
 
-// Picks the endpoint with the lowest cost: load for its capacity, slowness and error rate. The choice
-// draws at most one random number for each candidate, in the order of the slots.
+// Picks the endpoint with the lowest cost. The cost grows with the endpoint's load relative to its capacity,
+// its slowness and its error rate. A choice draws at most one random number for each candidate, in the order
+// of the slots.
 class EndpointPicker {
 public:
     // All arguments must outlive the picker.
@@ -22,9 +23,9 @@
                    SlowStart& slowStart)
         : settings_(settings), endpoints_(endpoints), stats_(stats), slowStart_(slowStart) {}
 
-    // Returns the slot of the best endpoint for the next attempt of `request`, or nothing when none may
-    // receive it. `work`: the request's work in requests of mean work. It also refreshes the subset, accrues
-    // slow start tokens, and records the work as unserved when nothing is returned and no warm endpoint is
+    // Returns the slot of the endpoint for the next attempt of `request`, or nothing if no endpoint may
+    // receive it. `work`: the request's work in requests of mean work. Also refreshes the subset, accrues
+    // slow start tokens, and records the work as unserved if it returns nothing and no warm endpoint is
     // available.
     std::optional<std::size_t> pick(const Request& request, double work, TimePoint now, RandomSource& random);
 
@@ -38,7 +39,7 @@
     bool isEjectionAllowed(TimePoint now) const;
     bool canDeduplicate(const Endpoint& endpoint, const Request& request) const;
 
-    // Costs are dimensionless; the lower, the better.
+    // Costs are dimensionless.
     double baseCost(const Endpoint& endpoint, double capacityShare, TimePoint now,
                     RandomSource& random) const;
     double expectedInFlight(const Endpoint& endpoint, double freshness) const;
--- a/src/decision/upstream/endpoint_set.cpp
+++ b/src/decision/upstream/endpoint_set.cpp
@@ -6,7 +6,7 @@
 namespace gateway {
 
 void EndpointSet::apply(const EndpointUpdate& update, TimePoint now) {
-    // A snapshot is complete: an endpoint that it does not list was removed.
+    // Every update except a delta lists all endpoints, so an endpoint that it does not list was removed.
     if (update.kind != UpdateKind::delta)
         for (Endpoint& endpoint : endpoints_) endpoint.markRemoved();
     for (const EndpointEntry& entry : update.entries) applyEntry(entry);
@@ -31,8 +31,8 @@
     return next;
 }
 
-// Frees the slots of removed endpoints. The picker walks every slot for each attempt, and in a fleet whose
-// endpoints are replaced all the time the number of slots would grow without bound.
+// Frees the slots of removed endpoints. Otherwise the number of slots would grow without bound where
+// endpoints are replaced often, and the picker iterates over every slot for each attempt.
 void EndpointSet::releaseUnusedSlots() {
     for (auto named = slotByName_.begin(); named != slotByName_.end();) {
         Endpoint& endpoint = endpoints_[named->second];
@@ -59,7 +59,7 @@
     for (Endpoint& endpoint : endpoints_) {
         if (!endpoint.isUsable()) continue;
         const double capacityShare = slowStart_.capacityShare(endpoint.entry(), now);
-        // Tokens accrue by the capacity and the subset that were in force until now.
+        // Tokens for the time until now accrue by the previous capacity and subset.
         slowStart_.accrueTokens(endpoint, capacityShare, capacity_);
         capacity.add(endpoint.entry().weight, capacityShare);
         std::vector<Endpoint*>& ring = capacityShare < 1 ? warmingUp : warm;
--- a/src/decision/upstream/endpoint_set.h
+++ b/src/decision/upstream/endpoint_set.h
@@ -1,4 +1,4 @@
-// The endpoints that discovery lists, each in a slot of its own.
+// The endpoints that discovery lists. Each has a slot, its position in the set.
 #pragma once
 
 #include <cstddef>
@@ -16,23 +16,23 @@
 namespace gateway {
 
 // Owns the endpoints. Invariants: an endpoint keeps its slot while it is listed or has an attempt in flight;
-// a slot that no endpoint has is not usable.
+// the Endpoint in a free slot is not usable.
 class EndpointSet {
 public:
     // `slowStart` and `limiter` must outlive the set.
     EndpointSet(const Settings& settings, const SlowStart& slowStart, const ConcurrencyLimiter& limiter)
         : slowStart_(slowStart), limiter_(limiter), subset_(settings) {}
 
-    // Takes in an endpoint list, or changes of it. Precondition: the update is not a failed one.
+    // Applies an endpoint list or changes of it. Precondition: the kind of the update is not `failed`.
     void apply(const EndpointUpdate& update, TimePoint now);
 
-    // Selects the subset again if the latest selection is old.
+    // Selects the subset again if it is stale.
     void refreshSubset(TimePoint now);
 
-    // The endpoint in the slot. Valid until the next call of apply(). Precondition: the slot exists.
+    // Returns the endpoint in the slot, valid until the next call of apply(). Precondition: the slot exists.
     Endpoint& at(std::size_t slot) { return endpoints_[slot]; }
 
-    // All slots, those without an endpoint included. Valid until the next call of apply().
+    // Returns all slots, free ones included, valid until the next call of apply().
     std::span<Endpoint> slots() { return endpoints_; }
     std::span<const Endpoint> slots() const { return endpoints_; }
 
@@ -42,7 +42,7 @@
     // Capacity of the usable endpoints at the latest selection of the subset.
     const FleetCapacity& capacity() const { return capacity_; }
 
-    // Whether some usable endpoint is neither warming up nor ejected.
+    // Whether a usable endpoint is neither warming up nor ejected.
     bool hasAvailableWarmEndpoint(TimePoint now) const;
 
 private:
--- a/src/decision/upstream/endpoint_stats.h
+++ b/src/decision/upstream/endpoint_stats.h
@@ -1,4 +1,4 @@
-// Fleet-wide view of the endpoints' load, and how far the view of one endpoint can still be trusted.
+// Statistics over all endpoints, and how up to date the statistics of one endpoint are.
 #pragma once
 
 #include <cstddef>
@@ -8,29 +8,29 @@
 
 namespace gateway {
 
-// Invariant: the observation interval is never negative while time does not run backwards.
+// Invariant: the observation interval is never negative, provided that times never decrease.
 class EndpointStats {
 public:
     // Precondition: called once, before the first observation.
     void start(TimePoint now) { observedAt_ = now; }
 
-    // An attempt ended at one of `endpointCount` listed endpoints. `load` is the state of that endpoint
+    // Records that an attempt ended at one of `endpointCount` listed endpoints. `load`: of that endpoint,
     // after the attempt.
     void observe(const EndpointLoad& load, std::size_t endpointCount, TimePoint now);
 
-    // Weight of an endpoint's own state against the fleet's mean, from 1 down to 0. It decays with the age of
-    // the latest outcome, more slowly where outcomes arrive rarely.
+    // Weight of an endpoint's own statistics, from 0 to 1; the rest is the weight of the mean over all
+    // endpoints. Decays with the age of the endpoint's latest outcome, more slowly if outcomes arrive rarely.
     double freshness(const EndpointLoad& load, TimePoint now) const;
 
-    // Mean over the endpoints of the attempts that the other gateways have in flight at one of them.
+    // Mean number of attempts that the other gateways have in flight at an endpoint.
     double meanRemoteInFlight() const { return meanRemoteInFlight_; }
 
-    // Whether this gateway has low local traffic: too little to observe every endpoint often.
+    // Whether this gateway has too little traffic to observe every endpoint often.
     bool hasLowLocalTraffic() const;
 
 private:
     double meanRemoteInFlight_ = 0;
-    double observationIntervalSeconds_ = 0;  // in which this gateway observes every endpoint once on average
+    double observationIntervalSeconds_ = 0;  // mean time between two outcomes of one endpoint
     TimePoint observedAt_{};
 };
 
--- a/src/decision/upstream/endpoint_subset.cpp
+++ b/src/decision/upstream/endpoint_subset.cpp
@@ -41,7 +41,8 @@
     selectFromRing(warmingUp, size / usable);
 }
 
-// Takes `share` of the ring, from the position that the gateway's index gives.
+// Adds a range of the ring to the subset. `share`: its length relative to the ring. The gateway's index
+// determines its first endpoint.
 void EndpointSubset::selectFromRing(std::vector<Endpoint*>& ring, double share) const {
     if (ring.empty()) return;
     std::sort(ring.begin(), ring.end(), isNameLess);
--- a/src/decision/upstream/endpoint_subset.h
+++ b/src/decision/upstream/endpoint_subset.h
@@ -1,10 +1,10 @@
 // Deterministic subsetting: chooses the endpoints that this gateway uses in a large fleet.
 //
-// A connection costs an endpoint work and capacity, a new connection costs the request time, and a gateway
-// observes each of a few endpoints more often than each of many. The subset is a run of neighbours on a
-// sorted ring of the endpoints' names, so that every endpoint is in as many subsets as any other. Warm
-// endpoints and those that are warming up have rings of their own, so that every subset has its share of
-// both.
+// With fewer endpoints per gateway, endpoints hold fewer connections, requests wait for fewer new
+// connections, and the gateway observes each endpoint more often. The subset is a contiguous range of a ring
+// of the endpoints, sorted by name, so that every endpoint is in about the same number of subsets. Warm
+// endpoints and those that are warming up are on separate rings, so that every subset contains the same share
+// of both.
 #pragma once
 
 #include <span>
@@ -15,17 +15,18 @@
 
 namespace gateway {
 
-// Keeps the time of the latest selection; the endpoints hold their membership as Endpoint::subsetShare.
+// Stores only the time of the latest selection. The endpoints store whether they are members, as
+// Endpoint::subsetShare.
 class EndpointSubset {
 public:
-    // Reads the settings only here.
+    // Does not keep a reference to `settings`.
     explicit EndpointSubset(const Settings& settings);
 
-    // Whether the subset is due for a new selection: some endpoints have warmed up in the meantime.
+    // Whether the subset must be selected again, since endpoints may have become warm.
     bool isStale(TimePoint now) const;
 
     // Chooses the members from `warm` and `warmingUp`, which are the usable ones among `endpoints`, and sets
-    // the subset share of every endpoint. In a small fleet every endpoint stays a member.
+    // the subset share of every endpoint. In a small fleet, every endpoint remains a member.
     void select(std::span<Endpoint> endpoints, std::vector<Endpoint*> warm, std::vector<Endpoint*> warmingUp,
                 TimePoint now);
 
--- a/src/decision/upstream/latency_stats.cpp
+++ b/src/decision/upstream/latency_stats.cpp
@@ -7,8 +7,8 @@
 namespace gateway {
 namespace {
 
-constexpr double kMinMeanSmoothing = 0.02;        // weight of a new sample once a class has many
-constexpr double kInitialObjectiveShare = 0.125;  // expected share of the objective before the first response
+constexpr double kMinMeanSmoothing = 0.02;        // weight of a new sample once the class has many samples
+constexpr double kInitialObjectiveShare = 0.125;  // expected response time before the first response
 
 }  // namespace
 
--- a/src/decision/upstream/latency_stats.h
+++ b/src/decision/upstream/latency_stats.h
@@ -1,4 +1,4 @@
-// Response times of each request class, and the time limits that follow from them.
+// Response times of each request class, and the time limits that depend on them.
 #pragma once
 
 #include <vector>
@@ -16,20 +16,20 @@
     // `settings` must outlive the statistics.
     explicit LatencyStats(const Settings& settings);
 
-    // Takes in an attempt of `request` that ended, and measures it against its class.
+    // Records an attempt of `request` that ended, and returns its measurements against its class.
     AttemptSample observe(const Request& request, const AttemptEnded& ended);
 
-    // Mean response time of the class in seconds; before the first response, an estimate. Above 0.
+    // Mean response time of the class; an estimate before the first response. Always above 0.
     double expectedSeconds(RequestClassIndex requestClass) const;
 
-    // Work of a request of this class, in requests of mean work. 1 before the first response.
+    // Mean work of a request of this class, in requests of mean work. 1 before its first response.
     double relativeWork(RequestClassIndex requestClass) const;
 
-    // Time from a request's arrival within which its response earns the full weight.
+    // Time after a request's arrival within which its response earns the full weight.
     Duration latencyObjective(RequestClassIndex requestClass) const;
 
-    // Time that remains for an attempt that starts now, until the client disconnects or the response earns
-    // nothing. Zero or negative: too late.
+    // Time that remains for an attempt that starts now, until the client's deadline or until the response
+    // would earn no weight. Zero or negative if that time has passed.
     Duration timeLeft(const Request& request, TimePoint now) const;
 
 private:
--- a/src/decision/upstream/retry_policy.cpp
+++ b/src/decision/upstream/retry_policy.cpp
@@ -34,7 +34,7 @@
     const RequestClass& terms = termsOf(request);
     if (terms.idempotency == Idempotency::safe) return true;
     if (!request.possibleRun) return !request.hasAttemptInFlight();
-    // The client's retry may reach any endpoint, so all of them have to deduplicate it.
+    // The client's retry may reach any endpoint, so all endpoints must deduplicate it.
     return terms.deduplicationScope == DeduplicationScope::all && isWithinIdempotencyWindow(request, now);
 }
 
@@ -44,8 +44,7 @@
     return request.possibleRun->since + terms.idempotencyWindow - now;
 }
 
-// Whether endpoints still deduplicate a repeat by its idempotency key. Precondition: the request may have
-// run.
+// Whether endpoints still recognize the request's idempotency key. Precondition: the request may have run.
 bool RetryPolicy::isWithinIdempotencyWindow(const Request& request, TimePoint now) const {
     const RequestClass& terms = termsOf(request);
     return terms.idempotency == Idempotency::withKey &&
--- a/src/decision/upstream/retry_policy.h
+++ b/src/decision/upstream/retry_policy.h
@@ -1,5 +1,4 @@
-// Decides whether a request may be sent again: by this gateway as a retry, or by its client after a
-// rejection.
+// Decides whether this gateway may retry a request, and whether its client may safely send it again.
 #pragma once
 
 #include "decision/engine/request.h"
@@ -8,29 +7,30 @@
 
 namespace gateway {
 
-// Retries of all requests share one budget, which first attempts refill, so that retries cannot multiply the
-// load. Invariant: the budget lies between 0 and its maximum.
+// The retries of all requests share one budget, which first attempts refill, so that retries cannot multiply
+// the load. Invariant: the budget lies between 0 and its maximum.
 class RetryPolicy {
 public:
     // Both arguments must outlive the policy.
     RetryPolicy(const Settings& settings, const LatencyStats& latency)
         : settings_(settings), latency_(latency) {}
 
-    // The first attempt of a request is sent. It adds to the budget.
+    // Adds to the budget for the first attempt of a request.
     void recordFirstAttempt();
 
-    // Spends one retry from the budget and returns true if the request, whose latest attempt has failed, may
-    // be retried. Returns false and changes nothing otherwise.
+    // Takes one retry from the budget and returns true if the request, whose latest attempt has failed, may
+    // be retried. Otherwise returns false and changes nothing.
     bool tryAcquireRetry(const Request& request, TimePoint now);
 
-    // Whether the client may repeat the request without the risk that it is executed twice.
+    // Whether the client may send the request again without the risk that it is executed twice.
     bool isClientRetrySafe(const Request& request, TimePoint now) const;
 
-    // Time from now within which the next attempt must be sent. 0: no limit.
+    // Time from `now` within which the next attempt must be sent, so that endpoints still recognize the
+    // idempotency key. 0: no limit.
     Duration maxSendDelay(const Request& request, TimePoint now) const;
 
 private:
-    static constexpr double kMaxTokens = 10;  // retries that can be saved
+    static constexpr double kMaxTokens = 10;  // retries
 
     bool canRetry(const Request& request, TimePoint now) const;
     bool isWithinIdempotencyWindow(const Request& request, TimePoint now) const;
--- a/src/decision/upstream/slow_start.cpp
+++ b/src/decision/upstream/slow_start.cpp
@@ -8,10 +8,10 @@
 namespace {
 
 constexpr double kSlowShareSmoothing = 0.05;  // weight of a new response
-constexpr double kUsedOverloadShare = 0.9;    // share of the overload multiple that budgets may use
+constexpr double kUsedOverloadShare = 0.9;    // share of the overload multiple that the budgets may use
 constexpr double kLowTrafficReserve = 1.25;   // divides the budgets under low local traffic
-constexpr double kUnservedCreditShare = 0.5;  // share of an unserved request's work that counts as served
-constexpr int kUnservedWindowDivisor = 8;     // of the overload window: min time without a success
+constexpr double kUnservedCreditShare = 0.5;  // share of unserved work that is credited as served
+constexpr int kUnservedWindowDivisor = 8;     // overload window / min time without a served request
 constexpr double kMinFleetCapacity = 1e-9;    // guards against division by zero
 
 }  // namespace
@@ -38,7 +38,8 @@
                                       fleetCapacity(fleet));
 }
 
-// Capacity that this gateway may use. The gateways whose subsets contain the endpoint share its capacity.
+// Returns the capacity by which this gateway's budget for the endpoint grows. It is divided by the subset
+// share, since only the gateways whose subsets contain the endpoint use it.
 double SlowStart::endpointCapacity(const Endpoint& endpoint, double capacityShare,
                                    const FleetCapacity& fleet) const {
     return capacityShare * endpoint.entry().weight * budgetMultiplier(fleet) / endpoint.subsetShare();
@@ -46,16 +47,16 @@
 
 double SlowStart::fleetCapacity(const FleetCapacity& fleet) const {
     double capacity = fleet.effectiveWeight();
-    // Under low local traffic, chance decides which gateways receive the requests, so the gateways do not
-    // take even turns. The budgets need a reserve.
+    // Under low local traffic, the distribution of requests over the gateways is random, so the gateways
+    // don't send their attempts in turn. The budgets need a reserve for that.
     if (stats_.hasLowLocalTraffic())
         capacity = std::max(fleet.fullWeight(), kLowTrafficReserve * fleet.effectiveWeight());
     return std::max(capacity, kMinFleetCapacity);
 }
 
-// With a multiplier of 1 an endpoint is as busy as the warm ones; more attempts would queue there while the
-// warm ones have capacity left. The multiplier rises towards the overload multiple while the warm endpoints
-// respond slowly and those that are warming up do not, or when no endpoint is warm.
+// With a multiplier of 1, an endpoint is utilized as much as the warm endpoints; further attempts would queue
+// there while warm endpoints have capacity left. The multiplier rises towards the overload multiple while
+// warm endpoints respond slowly and endpoints that are warming up do not, or if no endpoint is warm.
 double SlowStart::budgetMultiplier(const FleetCapacity& fleet) const {
     const double excessSlowShare = (slowShareOfWarm_ - slowShareOfWarmingUp_) / kTargetSlowShare;
     const double pressure = fleet.hasWarmEndpoint() ? std::clamp(excessSlowShare, 0.0, 1.0) : 1;
@@ -79,8 +80,8 @@
     if (endpoint.isUsable()) servedWork_ += work;
 }
 
-// When every endpoint is warming up and none has answered recently, fall back to demand as an estimate of
-// capacity. It may overestimate.
+// If no endpoint has served a request recently, the demand serves as an estimate of the capacity. It may be
+// too high.
 void SlowStart::recordUnserved(double work, TimePoint now) {
     if (now - servedAt_ > settings_.overloadWindow / kUnservedWindowDivisor)
         servedWork_ += kUnservedCreditShare * work;
--- a/src/decision/upstream/slow_start.h
+++ b/src/decision/upstream/slow_start.h
@@ -1,11 +1,13 @@
 // Slow start: limits the attempts that an endpoint receives while it is warming up.
 //
-// What the endpoints serve never exceeds their capacity, however high the demand is. So the budget of an
-// endpoint that is warming up grows with the work that the fleet serves, in proportion to the endpoint's
-// share of the fleet's capacity. The endpoint receives an attempt when the budget covers one. Each gateway
-// starts with a fraction of an attempt that is spread evenly over the gateways by the endpoint's name and
-// start time. So the gateways take turns, and the sum of their attempts stays close to the sum of their
-// budgets; random fractions would add a Poisson spread.
+// The work that the endpoints serve never exceeds their capacity, however high the demand is. Therefore the
+// budget of an endpoint that is warming up grows with the work that all endpoints serve, in proportion to the
+// endpoint's share of their capacity. The endpoint receives an attempt when its budget covers one.
+//
+// Each gateway has a budget of its own, and starts it with a fraction of an attempt. The endpoint's name and
+// start time determine the fractions, which are spread evenly over the gateways. As a result, the gateways
+// send their attempts in turn, and the sum of the attempts stays close to the sum of the budgets. Random
+// fractions would add the variance of a Poisson process.
 #pragma once
 
 #include "decision/upstream/attempt_sample.h"
@@ -16,14 +18,14 @@
 
 namespace gateway {
 
-// Decides on the budgets, which the endpoints hold as SlowStartTokens. Invariants: the served work never
+// Computes the budgets, which the endpoints store as SlowStartTokens. Invariants: the served work never
 // decreases; the shares of slow responses lie between 0 and 1.
 class SlowStart {
 public:
     // Both arguments must outlive the object.
     SlowStart(const Settings& settings, const EndpointStats& stats) : settings_(settings), stats_(stats) {}
 
-    // Share of its full capacity that an endpoint has now, from the settings' initial share up to 1.
+    // Share of its full capacity that an endpoint has now, from the initial share in the settings up to 1.
     double capacityShare(const EndpointEntry& entry, TimePoint now) const {
         return isRampOver(entry, now) ? 1 : rampShare(now - entry.startedAt);
     }
@@ -36,30 +38,30 @@
     // Starts the budget of an endpoint that has just started.
     void startTokens(Endpoint& endpoint) const;
 
-    // Credits the work that the fleet has served since the endpoint's previous accrual to its budget. Does
-    // nothing for a warm endpoint. `capacityShare` is that of the endpoint.
+    // Credits the endpoint's budget for the work served since its previous accrual. Does nothing for a warm
+    // endpoint. `capacityShare`: of this endpoint. `fleet`: the capacity of all usable endpoints.
     void accrueTokens(Endpoint& endpoint, double capacityShare, const FleetCapacity& fleet) const;
 
-    // Whether the endpoint may receive an attempt now. A warm endpoint always may. Precondition: its tokens
-    // have accrued up to now.
+    // Whether the endpoint may receive an attempt now; always true for a warm endpoint. Precondition:
+    // accrueTokens() was called for the present time.
     static bool mayReceiveAttempt(const Endpoint& endpoint, double capacityShare);
 
-    // Learns from an attempt at the endpoint that ended.
+    // Updates the share of slow responses with an attempt at the endpoint that ended.
     void observe(const Endpoint& endpoint, const AttemptSample& sample, TimePoint now);
 
-    // The endpoint served a request. `work`: in requests of mean work.
+    // Records that the endpoint served a request. `work`: in requests of mean work.
     void recordServed(const Endpoint& endpoint, double work, TimePoint now);
 
-    // No endpoint could receive a request of this work, and no warm endpoint is available.
+    // Records that no endpoint could receive a request of this work, and that no warm endpoint is available.
     void recordUnserved(double work, TimePoint now);
 
 private:
-    // Inline, since the picker asks this for every endpoint.
+    // Inline, since the picker calls this for every endpoint.
     bool isRampOver(const EndpointEntry& entry, TimePoint now) const {
         const Duration duration = settings_.slowStartDuration;
         return entry.startedAt <= TimePoint{} || duration <= Duration{} || now - entry.startedAt >= duration;
     }
-    // Precondition: the ramp is not over at this age. A negative age counts as 0.
+    // Precondition: slow start is not over at this age. A negative age counts as 0.
     double rampShare(Duration age) const;
 
     double endpointCapacity(const Endpoint& endpoint, double capacityShare, const FleetCapacity& fleet) const;
@@ -70,8 +72,8 @@
     const EndpointStats& stats_;
     double servedWork_ = 0;            // by usable endpoints, in requests of mean work
     double slowShareOfWarm_ = 0;       // share of slow responses among those of warm endpoints
-    double slowShareOfWarmingUp_ = 0;  // and among those of endpoints that are warming up
-    TimePoint servedAt_{};             // time of the latest success
+    double slowShareOfWarmingUp_ = 0;  // and among those of endpoints warming up
+    TimePoint servedAt_{};             // time of the latest served request
 };
 
 }  // namespace gateway
--- a/src/decision/upstream/slow_start_tokens.h
+++ b/src/decision/upstream/slow_start_tokens.h
@@ -1,15 +1,15 @@
-// Budget for attempts at one endpoint while it is warming up.
+// Budget of this gateway for attempts at one endpoint while that is warming up.
 #pragma once
 
 namespace gateway {
 
-// A token is one attempt of mean work. Invariants: saved tokens never exceed the maximum that one gateway may
-// save for an endpoint; the same served work is never credited twice. Spending may leave a negative balance,
-// since an attempt may cost more than one token.
+// A token pays for one attempt of mean work. Invariants: accrual never raises the balance above its maximum;
+// the same served work is never credited twice. The balance may become negative, since an attempt may cost
+// more than one token.
 class SlowStartTokens {
 public:
-    // Starts the budget with `tokens`. Work that was served before `servedWork` earns nothing.
-    // Unit of served work, here and below: requests of mean work, counted up from the gateway's start.
+    // Starts the budget with `tokens`. `servedWork`, here and below: the total work served since the gateway
+    // started, in requests of mean work. Work served before this call earns nothing.
     void start(double tokens, double servedWork);
 
     // Credits the work served since the previous accrual, in proportion to the endpoint's capacity.
@@ -19,7 +19,7 @@
     // Discards the work served since the previous accrual.
     void skip(double servedWork) { accruedAt_ = servedWork; }
 
-    // Charges an attempt of this work, in requests of mean work.
+    // Charges an attempt. `work`: in requests of mean work.
     void spend(double work) { tokens_ -= work; }
 
     // Whether the budget covers an attempt of mean work.
@@ -29,7 +29,7 @@
 
 private:
     double tokens_ = 0;
-    double accruedAt_ = 0;  // served work at the latest accrual
+    double accruedAt_ = 0;  // total served work at the latest accrual
 };
 
 }  // namespace gateway
