--- a/tests/decision/engine/decision_engine_test.cpp
+++ b/tests/decision/engine/decision_engine_test.cpp
@@ -1,4 +1,4 @@
-// The engine as a whole: every request is answered, ceilings hold, decisions are reproducible.
+// Tests the complete engine: it answers every request, enforces ceilings and makes reproducible decisions.
 #include "gateway/decision_engine.h"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
 
 struct FleetCase {
     int gatewayCount;
-    int entryPoints;  // as requests claim: also none, and more than there are gateways
+    int entryPoints;  // as the requests state; may be 0, and more than there are gateways
     bool counterEnabled;
 };
 
@@ -31,7 +31,7 @@
 protected:
     static constexpr int kRequests = 200;
     static constexpr Duration kInterval = milliseconds(100);
-    static constexpr double kCeilingRate = 4;  // cost a second
+    static constexpr double kCeilingRate = 4;  // cost per second
     static constexpr double kCeilingBurst = 16;
 
     static Settings settingsFor(const FleetCase& row) {
@@ -65,7 +65,7 @@
     EXPECT_EQ(engine.sends.size() + engine.rejections.size() + engine.failures.size(),
               static_cast<std::size_t>(kRequests));
 
-    // With the counter's replies one gateway may admit all that the ceiling allows, without them its part.
+    // With the counter, one gateway may admit all that the ceiling allows; without it, only its own part.
     constexpr double kSeconds = 20;
     const double parts = row.counterEnabled ? 1 : std::max(1, row.entryPoints);
     EXPECT_LE(forwarded, (kCeilingBurst + kCeilingRate * kSeconds) / parts);
--- a/tests/decision/engine/endpoint_watch_test.cpp
+++ b/tests/decision/engine/endpoint_watch_test.cpp
@@ -1,4 +1,3 @@
-// How the engine follows the endpoint set that discovery reports.
 #include "decision/engine/endpoint_watch.h"
 
 #include <gtest/gtest.h>
--- a/tests/decision/engine/request_lifecycle_test.cpp
+++ b/tests/decision/engine/request_lifecycle_test.cpp
@@ -1,4 +1,3 @@
-// The life of a request in the engine: attempts, retries by idempotency, final answers.
 #include "decision/engine/request_lifecycle.h"
 
 #include <gtest/gtest.h>
@@ -62,7 +61,7 @@
         const SendAttempt first = engine().sends.back();
         engine().endAttempt(first, 0, Outcome::error, false);
         const bool isRetried = engine().sends.size() > before + 1;
-        if (!isRetried) continue;  // The request may fail instead.
+        if (!isRetried) continue;  // the request may also fail
         EXPECT_EQ(cellOf(engine().sends.back().endpoint), cellOf(first.endpoint));
         engine().endAttempt(engine().sends.back(), 1, Outcome::ok, true);
     }
@@ -77,8 +76,8 @@
     EXPECT_EQ(engine().failures.size(), 1u);
 }
 
-// A connection to an endpoint may be established late, so the attempt carries the time that is left of the
-// idempotency window.
+// Establishing a connection may take so long that the endpoint no longer recognizes the key, so the attempt
+// carries the rest of the idempotency window.
 TEST_F(RequestLifecycleTest, LimitsStartOfKeyedRetryToIdempotencyWindow) {
     start(keyedWithin(DeduplicationScope::all, milliseconds(400)));
     engine().request();
--- a/tests/decision/engine/request_table_test.cpp
+++ b/tests/decision/engine/request_table_test.cpp
@@ -1,4 +1,3 @@
-// The requests in flight.
 #include "decision/engine/request_table.h"
 
 #include <gtest/gtest.h>
--- a/tests/decision/engine/timer_table_test.cpp
+++ b/tests/decision/engine/timer_table_test.cpp
@@ -1,4 +1,3 @@
-// The timers of the engine and what each one is for.
 #include "decision/engine/timer_table.h"
 
 #include <gtest/gtest.h>
--- a/tests/decision/upstream/concurrency_limiter_test.cpp
+++ b/tests/decision/upstream/concurrency_limiter_test.cpp
@@ -15,7 +15,7 @@
     static constexpr double kFastObjectiveShare = 0.1;
     static constexpr double kSlowResponseObjectiveShare = 0.9;
 
-    ConcurrencyLimiterTest() : limiter(plainSettings()) {}  // two gateways, 16 attempts at an endpoint
+    ConcurrencyLimiterTest() : limiter(plainSettings()) {}  // two gateways, 16 attempts at each endpoint
 
     static AttemptSample servedSample(double objectiveShare) {
         AttemptSample sample;
@@ -47,7 +47,7 @@
         for (int i = 0; i < count; ++i) limiter.endAttempt();
     }
 
-    // Attempts that may be in flight at once.
+    // Returns how many attempts may be in flight at once.
     int measureCapacity() {
         constexpr int kMaxMeasured = 1000;
         RandomSource random(1);
@@ -105,10 +105,10 @@
     int admitted = 0;
     for (int i = 0; i < 1000; ++i)
         if (limiter.hasCapacity(random)) ++admitted;
-    EXPECT_NEAR(admitted, 100, 30);  // the min limit of 0.1 is met by random draws
+    EXPECT_NEAR(admitted, 100, 30);  // the limiter admits a share of 0.1 at its min limit
 }
 
-// The limiter as a part of the decision engine.
+// Tests the limiter within the decision engine.
 class ConcurrencyLimiterEngineTest : public UpstreamEngineTest {};
 
 TEST_F(ConcurrencyLimiterEngineTest, AdmitsRequestsWhileSomeEndpointsAreUnresponsiveAndOthersFast) {
@@ -117,7 +117,7 @@
     settings.plans[0].burst = 1e6;
     settings.gatewayCount = 300;
     start(settings, 20);
-    const auto reply = [](const EndpointId& endpoint) {  // eight of the twenty endpoints do not answer
+    const auto reply = [](const EndpointId& endpoint) {  // eight of the twenty endpoints do not respond
         const bool isUnresponsive = endpoint.value().size() == 2 && endpoint.value() < "w8";
         if (isUnresponsive) return AttemptReply{Outcome::timedOut, milliseconds(600)};
         return AttemptReply{Outcome::ok, milliseconds(80)};
@@ -153,12 +153,12 @@
     settings.gatewayCount = 11;
     start(settings, 2);
     sendRequests(30);
-    EXPECT_EQ(attempts().size(), 2u);  // one at each endpoint, and so eleven over all gateways
+    EXPECT_EQ(attempts().size(), 2u);  // one at each endpoint, eleven with those of the other gateways
     EXPECT_EQ(rejections().size(), 30 - attempts().size());
 }
 
-// A limit that is harmless for one gateway fills every queue when all gateways use it: 100 gateways with 10
-// attempts in flight each have 17 at every endpoint, and they learn from the first responses too late.
+// Guards against an initial limit that is too high for a large fleet: 100 gateways with 10 attempts in flight
+// each have 17 at every endpoint, and the first responses come after the queues are full.
 TEST_F(ConcurrencyLimiterEngineTest, LargeFleetDoesNotFillTheQueuesBeforeTheFirstResponse) {
     Settings settings = plainSettings();
     settings.gatewayCount = 100;
--- a/tests/decision/upstream/endpoint_picker_test.cpp
+++ b/tests/decision/upstream/endpoint_picker_test.cpp
@@ -11,7 +11,7 @@
 
 constexpr TimePoint kNow{std::chrono::seconds(100)};
 
-// A picker before warm endpoints w0, w1, ... in slots 0, 1, ...
+// A picker with the listed endpoints in slots 0, 1, ..., all of them warm.
 class EndpointPickerTest : public testing::Test {
 protected:
     void listEndpoints(std::vector<EndpointEntry> entries) {
@@ -99,7 +99,8 @@
 class EndpointPickerDeduplicationTest : public EndpointPickerTest,
                                         public testing::WithParamInterface<DeduplicationCase> {
 protected:
-    // Whether a retry of a request that may have run in zone 0 and cell 0 reaches an endpoint that is there.
+    // Whether a retry of a request that may have run in zone 0 and cell 0 may go to an endpoint in this zone
+    // and cell.
     bool reaches(ZoneId zone, CellId cell) {
         settings.classes[0].idempotency = GetParam().idempotency;
         settings.classes[0].deduplicationScope = GetParam().scope;
--- a/tests/decision/upstream/endpoint_set_test.cpp
+++ b/tests/decision/upstream/endpoint_set_test.cpp
@@ -7,7 +7,7 @@
 namespace gateway {
 namespace {
 
-// The set alone, with endpoints that are all warm.
+// Tests the set alone.
 class EndpointSetTest : public testing::Test {
 protected:
     static constexpr TimePoint kNow{std::chrono::seconds(100)};
@@ -91,7 +91,7 @@
     EXPECT_FALSE(endpoints.hasAvailableWarmEndpoint(kNow));
 }
 
-// The set as a part of the decision engine.
+// Tests the set within the decision engine.
 class EndpointSetEngineTest : public UpstreamEngineTest {};
 
 TEST_F(EndpointSetEngineTest, SendsNothingToADrainingEndpointAtOnce) {
@@ -121,7 +121,7 @@
     changeEndpoints({entry("n1", Availability::up, CellId{1}), entry("n2", Availability::up, CellId{1}),
                      entry("n3", Availability::up, CellId{1})});
     endAttempt(*first, 0, {Outcome::error});
-    EXPECT_EQ(attempts().size(), 1u);  // no endpoint of its cell is left
+    EXPECT_EQ(attempts().size(), 1u);  // no endpoint of its cell is listed
     EXPECT_EQ(failureCount(), 1u);
 }
 
--- a/tests/decision/upstream/endpoint_subset_test.cpp
+++ b/tests/decision/upstream/endpoint_subset_test.cpp
@@ -12,7 +12,7 @@
 
 constexpr TimePoint kStart{milliseconds(100'000)};
 
-// The subset alone.
+// Tests the subset alone.
 class EndpointSubsetTest : public testing::Test {
 protected:
     static Settings settingsOf(int gatewayCount) {
@@ -83,14 +83,14 @@
     EXPECT_TRUE(subset.isStale(kStart + milliseconds(1001)));
 }
 
-// Decision engines of a fleet of a hundred gateways before sixty endpoints.
+// The decision engines of a fleet with a hundred gateways and sixty endpoints.
 class EndpointSubsetFleetTest : public testing::Test {
 protected:
     static constexpr int kGateways = 100;
     static constexpr int kEndpoints = 60;
     static constexpr int kRequests = 100;
 
-    // The endpoints to which one gateway sends attempts when every attempt ends in `outcome`.
+    // Returns the endpoints to which one gateway sends attempts if every attempt ends with `outcome`.
     static std::set<EndpointId> endpointsUsed(int gatewayIndex, Outcome outcome) {
         DecisionEngine engine = startEngine(gatewayIndex);
         std::set<EndpointId> used;
@@ -123,8 +123,8 @@
         return engine;
     }
 
-    // Ends every attempt among the actions, and those that follow from it, and adds their endpoints to
-    // `used`.
+    // Ends every attempt among the actions, and every attempt that results from that, and adds their
+    // endpoints to `used`.
     static void endAttempts(DecisionEngine& engine, TimePoint now, Outcome outcome, Actions& actions,
                             std::set<EndpointId>& used) {
         int attempt = 0;
--- a/tests/decision/upstream/outlier_detector_test.cpp
+++ b/tests/decision/upstream/outlier_detector_test.cpp
@@ -26,7 +26,7 @@
 TEST_F(OutlierDetectorTest, EjectsEndpointAfterConsecutiveErrors) {
     observeErrors(2);
     EXPECT_FALSE(detector.isEjected(0, kNow));
-    observeErrors(1);  // 1 - 0.85^3 is past 0.3
+    observeErrors(1);  // the error rate is 1 - 0.85^3, above 0.3
     EXPECT_TRUE(detector.isEjected(0, kNow));
 }
 
@@ -92,7 +92,7 @@
     EXPECT_EQ(detector.ejectedUntil() - later, seconds(1));
 }
 
-// Outlier detection as a part of the decision engine.
+// Tests outlier detection within the decision engine.
 class OutlierDetectorEngineTest : public UpstreamEngineTest {};
 
 TEST_F(OutlierDetectorEngineTest, EjectsFailingEndpointAndUsesItAgainAfterItRecovers) {
--- a/tests/decision/upstream/slow_start_fleet_test.cpp
+++ b/tests/decision/upstream/slow_start_fleet_test.cpp
@@ -1,4 +1,4 @@
-// What all gateways together send to endpoints that are warming up stays within the settings.
+// Tests that all gateways together send no more to endpoints that are warming up than the settings allow.
 #include "support/slow_start_fleet.h"
 
 #include <gtest/gtest.h>
@@ -12,9 +12,9 @@
 
 class SlowStartFleetTest : public testing::TestWithParam<FleetScenario> {
 protected:
-    static constexpr double kMinUsedShare = 0.5;  // of the possible work, at full load
+    static constexpr double kMinUsedShare = 0.5;  // of the work that the endpoints can serve, at full load
 
-    // Plays the scenario with each of its seeds.
+    // Runs the scenario with each of its seeds.
     static OverloadTally playAllSeeds(const FleetScenario& scenario) {
         OverloadTally sum;
         for (int seed = 1; seed <= scenario.seedCount; ++seed)
@@ -46,7 +46,7 @@
     EXPECT_GE(tally.receivedWork / tally.possibleWork, kMinUsedShare * std::min(scenario.load, 1.0));
 }
 
-// One row for each scenario; its first line has the size and the load of the fleet.
+// The names state the kind of load or change and the number of gateways.
 // clang-format off
 const FleetScenario kScenarios[] = {
     // High traffic.
@@ -68,7 +68,7 @@
      .meanWorkSeconds = 0.05, .load = 1.5, .seedCount = 1},
     {.name = "ManyEndpoints300BusyLoad", .gatewayCount = 300, .endpointCount = 200, .coresPerEndpoint = 2,
      .meanWorkSeconds = 0.1, .load = 0.8, .seedCount = 1},
-    // Low traffic: each gateway receives less than one request a second.
+    // Low traffic: each gateway receives less than one request per second.
     {.name = "LowTraffic20", .gatewayCount = 20, .endpointCount = 12, .coresPerEndpoint = 1,
      .meanWorkSeconds = 0.5, .load = 0.66, .seedCount = 12},
     {.name = "LowTraffic30", .gatewayCount = 30, .endpointCount = 12, .coresPerEndpoint = 1,
@@ -115,7 +115,7 @@
     {.name = "AllReplaced300LowTrafficOverload", .gatewayCount = 300, .endpointCount = 12,
      .coresPerEndpoint = 2, .meanWorkSeconds = 0.08, .load = 1.5, .replacedShare = 1,
      .restartedShare = 0.25, .seedCount = 3},
-    // The load rises from low to an overload when the last endpoint is replaced.
+    // The load rises from low to an overload once all replacements have begun.
     {.name = "LoadSurge30", .gatewayCount = 30, .endpointCount = 12, .coresPerEndpoint = 4,
      .meanWorkSeconds = 0.05, .load = 1.2, .initialLoadShare = 0.2},
     {.name = "LoadSurge300", .gatewayCount = 300, .endpointCount = 40, .coresPerEndpoint = 4,
--- a/tests/decision/upstream/slow_start_test.cpp
+++ b/tests/decision/upstream/slow_start_test.cpp
@@ -11,7 +11,7 @@
 
 using std::chrono::seconds;
 
-// Slow start alone, with an endpoint that starts at kStart.
+// Tests slow start alone, with an endpoint that starts at kStart.
 class SlowStartTest : public testing::Test {
 protected:
     static constexpr TimePoint kStart{seconds(100)};
@@ -26,7 +26,7 @@
         return entry;
     }
 
-    // A fleet of one warm endpoint and one with the initial capacity.
+    // Capacity of a warm endpoint and one that has just started.
     static FleetCapacity fleet() {
         FleetCapacity fleet;
         fleet.add(1, 1);
@@ -62,12 +62,12 @@
 }
 
 TEST_F(SlowStartTest, TokensAccrueFromWorkThatUsableEndpointsServe) {
-    slowStart.recordServed(warmEndpoint, 100, kStart);  // not listed, so not usable
+    slowStart.recordServed(warmEndpoint, 100, kStart);  // this endpoint is not listed, so it is not usable
     slowStart.accrueTokens(endpoint, kInitialShare, fleet());
     EXPECT_EQ(endpoint.slowStartTokens().tokens(), 0);
     slowStart.recordServed(endpoint, 2.5, kStart);
     slowStart.accrueTokens(endpoint, kInitialShare, fleet());
-    EXPECT_DOUBLE_EQ(endpoint.slowStartTokens().tokens(), 0.5);  // its share is 0.25 of 1.25
+    EXPECT_DOUBLE_EQ(endpoint.slowStartTokens().tokens(), 0.5);  // its share of the capacity is 0.25 of 1.25
 }
 
 TEST_F(SlowStartTest, AskingWhetherAnAttemptIsAllowedChangesNothing) {
@@ -97,7 +97,7 @@
     EXPECT_DOUBLE_EQ(endpoint.slowStartTokens().tokens(), 0.2);
 }
 
-// Slow start as a part of the decision engine.
+// Tests slow start within the decision engine.
 class SlowStartEngineTest : public UpstreamEngineTest {};
 
 TEST_F(SlowStartEngineTest, SendsFewAttemptsToAnEndpointThatIsWarmingUp) {
@@ -120,20 +120,21 @@
     EXPECT_LE(sentToWarmingUp, 6);
 }
 
-// Many gateways, each with a decision engine of its own.
+// A fleet of many gateways, each with its own decision engine.
 class SlowStartManyGatewaysTest : public testing::Test {
 protected:
     static constexpr int kGateways = 2000;
     static constexpr int kEndpoints = 60;
     static constexpr int kWarmingUp = 36;
     static constexpr int kRequests = 12;
-    static constexpr int kFastRequests = 8;  // the first ones, which every endpoint answers fast
+    static constexpr int kFastRequests = 8;  // the first ones, to which every endpoint responds fast
     static constexpr Duration kFast = milliseconds(100);
     static constexpr TimePoint kFirstRequestAt{milliseconds(60'000)};
     static constexpr TimePoint kWarmUpStart{milliseconds(100'000)};
 
-    // Number of gateways that send their last request to an endpoint that is warming up. Each gateway has low
-    // local traffic. Warm endpoints answer the three requests before the last one in `warmResponseTime`.
+    // Returns the number of gateways that send their last request to an endpoint that is warming up. Each
+    // gateway has low local traffic. Warm endpoints respond to the requests after the first kFastRequests in
+    // `warmResponseTime`.
     static int countSentToWarmingUp(Duration warmResponseTime) {
         int count = 0;
         for (int gateway = 0; gateway < kGateways; ++gateway)
@@ -169,7 +170,7 @@
             const TimePoint now = kFirstRequestAt + i * milliseconds(3000);
             const std::optional<SendAttempt> attempt = sendRequest(engine, gatewayIndex, i, now);
             lastWasWarmingUp = attempt && isWarmingUp(attempt->endpoint);
-            if (!attempt) continue;  // slow responses lower the concurrency limit
+            if (!attempt) continue;  // rejected, since slow responses lower the concurrency limit
             const bool isFast = lastWasWarmingUp || i < kFastRequests;
             serve(engine, *attempt, isFast ? kFast : warmResponseTime, now);
         }
@@ -200,23 +201,22 @@
     }
 };
 
-// An endpoint that is warming up is no busier than warm ones while those have capacity left: further attempts
-// would queue there.
+// Guards against attempts that queue at endpoints that are warming up while warm ones have capacity left.
 TEST_F(SlowStartManyGatewaysTest, UsesNoMoreThanTheCapacityShareWhileWarmEndpointsAreFast) {
     const int sent = countSentToWarmingUp(milliseconds(100));
-    EXPECT_GE(sent, 2000 * 11 / 100);  // by capacity 0.25 x 36 / 60, so 15 in 100
+    EXPECT_GE(sent, 2000 * 11 / 100);  // the capacity share is 0.25 x 36 / 60, so 15 in 100
     EXPECT_LE(sent, 2000 * 18 / 100);
 }
 
-// While most of a fleet is warming up, all gateways send the remaining load to the few warm endpoints. When
-// those become slow, the others take a good part of what the overload multiple allows.
+// Guards against an overload of the few warm endpoints while most endpoints are warming up and could serve
+// more, up to the overload multiple.
 TEST_F(SlowStartManyGatewaysTest, UsesMoreThanTheCapacityShareWhileWarmEndpointsAreSlow) {
     const int sent = countSentToWarmingUp(plainSettings().classes[0].latencyObjective * 9 / 10);
     EXPECT_GE(sent, 2000 * 22 / 100);
-    EXPECT_LE(sent, 2000 * 30 / 100);  // the overload multiple of 2 is at 30
+    EXPECT_LE(sent, 2000 * 30 / 100);  // the overload multiple of 2 allows 30 in 100
 }
 
-// 200 gateways with one request each, before 40 endpoints of which one is warming up.
+// A fleet of 200 gateways, with one request each, and 40 endpoints, one of which is warming up.
 class SlowStartFirstRequestTest : public testing::Test {
 protected:
     static constexpr int kGateways = 200;
@@ -249,7 +249,7 @@
         for (int i = 0; i < kEndpoints; ++i)
             list.entries.push_back(EngineFixture::entry("w" + std::to_string(i)));
         list.entries[0].startedAt = kStart;
-        list.entries[0].weight = 8;  // a large one, so that it has the lowest cost even while warming up
+        list.entries[0].weight = 8;  // so that it has the lowest cost even while warming up
         return list;
     }
 
--- a/tests/decision/upstream/upstream_engine_test.h
+++ b/tests/decision/upstream/upstream_engine_test.h
@@ -14,14 +14,14 @@
 
 namespace gateway {
 
-// How an endpoint answers one attempt. Only a success closes the request.
+// How an endpoint responds to one attempt. Only a success closes the request.
 struct AttemptReply {
     Outcome outcome = Outcome::ok;
     Duration elapsed = milliseconds(50);
 };
 
-// One gateway with a clock and a counter service of its own. Precondition of all but start(): start() was
-// called.
+// One gateway with a simulated clock and a simulated counter service. Precondition of all functions except
+// start() and entry(): start() was called.
 class UpstreamEngineTest : public testing::Test {
 protected:
     static constexpr std::uint64_t kTenant = 5;
@@ -29,24 +29,24 @@
     // Starts the gateway with endpoints w0, w1, ..., two in each cell.
     void start(const Settings& settings, int endpointCount);
 
-    // Delivers changed entries of the endpoint list, or the complete list.
+    // Reports changed entries of the endpoint list, or the complete list.
     void changeEndpoints(std::vector<EndpointEntry> entries);
     void replaceEndpoints(std::vector<EndpointEntry> entries);
     static EndpointEntry entry(const std::string& name, Availability availability = Availability::up,
                                CellId cell = {});
 
-    // Sends a request of the tenant and returns the attempt that it causes, if any.
+    // Sends a request of the tenant and returns the resulting attempt, if any.
     std::optional<SendAttempt> sendRequest(std::uint64_t tenant = kTenant);
 
-    // Sends one request of each tenant from `firstTenant` on.
+    // Sends one request for each of `count` tenants, starting with `firstTenant`.
     void sendRequests(int count, std::uint64_t firstTenant = 0);
 
-    // Sends a request and answers each of its attempts by `reply`. Returns the endpoints of the attempts in
-    // their order.
+    // Sends a request and ends each of its attempts with the result of `reply`. Returns the endpoints of the
+    // attempts in order.
     std::vector<EndpointId> serveRequest(std::uint64_t tenant,
                                          const std::function<AttemptReply(const EndpointId&)>& reply);
 
-    // Ends an attempt, which is the `number`th of its request, counted from 0.
+    // Ends an attempt. `number`: its position among the attempts of its request, from 0.
     void endAttempt(const SendAttempt& attempt, int number, const AttemptReply& reply = {});
 
     void advance(Duration time);
--- a/tests/support/engine_fixture.h
+++ b/tests/support/engine_fixture.h
@@ -1,4 +1,4 @@
-// A decision engine with a clock and a counter service of the test's own.
+// A decision engine with a simulated clock and a simulated counter service.
 #pragma once
 
 #include <cstdint>
@@ -13,20 +13,20 @@
 
 using std::chrono::milliseconds;
 
-// Settings with one safe request class and one plan of 2 cost units a second with a burst of 8, so that a
-// window slice lasts 4 s.
+// Settings with one safe request class, and one quota plan with a rate of 2 and a burst of 8 cost units, so
+// that a window slice lasts 4 s.
 Settings plainSettings();
 
-// One gateway's engine. Actions are collected as they come; the counter service replies at once while
-// `isCounterAnswering`. Time moves by advance() alone, which fires the timers that are due.
+// The engine of one gateway. Collects the engine's actions. The counter service replies at once while
+// `isCounterAnswering`. Only advance() moves the clock, and fires the timers that expire.
 class EngineFixture {
 public:
-    // Starts an engine and reports endpoints "w0", "w1" and so on to it, two in a cell.
+    // Starts an engine and reports endpoints "w0", "w1" and so on to it, two in each cell.
     explicit EngineFixture(const Settings& engineSettings, int endpoints = 4);
 
     static EndpointEntry entry(const std::string& id, CellId cell = {});
 
-    // Hands an event to the engine and collects its actions.
+    // Passes an event to the engine and collects the resulting actions.
     void handle(const Event& event);
 
     void advance(Duration step);
@@ -35,14 +35,14 @@
     std::string request(double cost = 1, std::uint64_t tenant = 5, Duration patience = milliseconds(2500),
                         int entryPoints = 2);
 
-    // Ends an attempt after 50 ms.
+    // Reports the end of an attempt that took 50 ms.
     void endAttempt(const SendAttempt& send, int attempt, Outcome outcome, bool requestClosed,
                     std::optional<double> actualCost = {});
 
-    // Replies to each unanswered add with a failure.
+    // Reports a failure of each call in `unansweredAdds`.
     void failUnansweredAdds(Outcome outcome);
 
-    // The sum over all names on the counter service.
+    // The sum of the totals of all names on the counter service.
     double counterTotal() const;
 
     Settings settings;
--- a/tests/support/slow_start_fleet.cpp
+++ b/tests/support/slow_start_fleet.cpp
@@ -1,4 +1,4 @@
-// The clock, the gateways and the clients of the simulated fleet, and the changes that it goes through.
+// The clock, the gateways and the clients of the simulated fleet, and the changes of its endpoints.
 #include "support/slow_start_fleet.h"
 
 #include <algorithm>
@@ -20,7 +20,7 @@
 constexpr Duration kDrainTime = milliseconds(1500);        // from draining to the end of the process
 constexpr Duration kReplacementDelay = milliseconds(200);  // of an endpoint with another name
 constexpr Duration kClientRetryDelay = milliseconds(300);
-constexpr std::size_t kNameStride = 100;    // between the names of two series of endpoints
+constexpr std::size_t kNameStride = 100;    // numbers between the names of two series of endpoints
 constexpr int kFirstEndpointNumber = 1000;  // gives all names the same length
 
 constexpr double kHeavyShare = 0.3;  // of the requests
@@ -134,7 +134,7 @@
     announce(startEndpoint(name, now_));
 }
 
-// Every gateway learns the endpoint's present entry after a delay of its own.
+// Delivers the endpoint's present entry to every gateway, to each after another random delay.
 void SlowStartFleet::announce(std::size_t endpoint) {
     const EndpointEntry entry = endpoints_[endpoint].entry;
     for (std::size_t gateway = 0; gateway < gateways_.size(); ++gateway) {
@@ -160,7 +160,7 @@
     });
 }
 
-// Replaces and drains endpoints in random order, spread evenly over the time for replacements.
+// Replaces and drains endpoints in random order, at regular times within kReplacementTime.
 void SlowStartFleet::scheduleChanges() {
     std::vector<std::size_t> order(endpoints_.size());
     std::iota(order.begin(), order.end(), std::size_t{0});
@@ -179,7 +179,7 @@
     scheduleGatewayRestarts();
 }
 
-// A replacement under the old name starts after the end of the old process, one with another name beside it.
+// A replacement with the same name starts after the old process has ended, one with another name before that.
 void SlowStartFleet::scheduleReplacement(std::size_t endpoint, TimePoint when, std::size_t number,
                                          bool keepsName) {
     schedule(when, [this, endpoint] { drainEndpoint(endpoint); });
@@ -255,7 +255,7 @@
     feed(gateway, arrival);
 }
 
-// The client of a rejected request tries once more, through any gateway.
+// The client of a rejected request retries it once, through a random gateway.
 void SlowStartFleet::repeatRejected(std::size_t rejected) {
     ClientRequest request = requests_[rejected];
     if (request.isRepeated) return;
--- a/tests/support/slow_start_fleet.h
+++ b/tests/support/slow_start_fleet.h
@@ -1,5 +1,5 @@
-// A simulated fleet of decision engines and stand-in endpoints, of which some are replaced and warm up, on a
-// clock of its own.
+// A fleet of decision engines with simulated endpoints, clients and clock. Some of the endpoints are
+// replaced, and the new ones warm up.
 #pragma once
 
 #include <cstddef>
@@ -19,51 +19,51 @@
 
 namespace gateway {
 
-// What one simulated fleet goes through. Endpoints are replaced within seven seconds, after ten seconds with
-// constant load.
+// The size, the load and the changes of one simulated fleet. All replacements begin within seven seconds,
+// after ten seconds without changes.
 struct FleetScenario {
     const char* name;
     int gatewayCount;
     int endpointCount;
     int coresPerEndpoint;
-    double meanWorkSeconds;       // time that a warm core needs for a request of mean work
-    double load;                  // demand, as a share of the warm fleet's capacity
+    double meanWorkSeconds;       // time in which a warm core serves a request of mean work
+    double load;                  // demand, as a share of the capacity of all endpoints when warm
     double replacedShare = 0.6;   // of the endpoints
     double drainedShare = 0.1;    // of the endpoints, without a replacement
-    double restartedShare = 0.1;  // of the gateways, which lose their state meanwhile
-    double sameNameShare = 0.25;  // of the replaced endpoints, which come back under their old name
-    double activeShare = 1;       // of the gateways, which receive all requests
-    double initialLoadShare = 1;  // of the load, until the last endpoint is replaced
+    double restartedShare = 0.1;  // of the gateways, which lose their state
+    double sameNameShare = 0.25;  // of the replaced endpoints: those whose replacement has the same name
+    double activeShare = 1;       // of the gateways: those that receive requests
+    double initialLoadShare = 1;  // of the load, until all replacements have begun
     int seedCount = 2;
     bool hasOtherSettings = false;  // a shorter and steeper slow start
 };
 
 std::ostream& operator<<(std::ostream& out, const FleetScenario& scenario);
 
-// What endpoints that were warming up received. A window has the length of the settings' overload window and
-// ends at an attempt that such an endpoint receives. Its allowance is the work that the settings' overload
-// multiple allows; its bound adds the spread of a random process to the allowance.
+// Statistics on the attempts that endpoints received while warming up. A window has the length of the
+// settings' overload window and ends when such an endpoint receives an attempt. Its allowance is the work
+// that the settings' overload multiple allows; its bound adds a margin for random variation to the allowance.
 struct OverloadTally {
     long windows = 0;
     long windowsOverBound = 0;
-    long windowsOverInitialBound = 0;   // by the capacity at the window's begin
-    double maxShareOfAllowance = 0;     // work in the fullest window
-    double maxShareOfBound = 0;         // the same
-    double maxShareOfInitialBound = 0;  // the same
-    double receivedWork = 0;            // while warming up, in requests of mean work
-    double possibleWork = 0;            // what the endpoints could have served meanwhile
-    long requested = 0;                 // requests from the first replacement on
-    long served = 0;                    // of these
+    long windowsOverInitialBound = 0;   // the bound by the endpoint's capacity when the window begins
+    double maxShareOfAllowance = 0;     // max of a window's work divided by its allowance
+    double maxShareOfBound = 0;         // max of a window's work divided by its bound
+    double maxShareOfInitialBound = 0;  // max of a window's work divided by its initial bound
+    double receivedWork = 0;            // by endpoints warming up, in requests of mean work
+    double possibleWork = 0;            // work that these endpoints could have served in that time
+    long requested = 0;                 // requests since the first replacement
+    long served = 0;                    // how many of these were served
 
     void add(const OverloadTally& other);
 };
 
-// Runs one scenario. Everything follows from the scenario and the seed.
+// Runs one scenario. The scenario and the seed determine the result.
 class SlowStartFleet {
 public:
     SlowStartFleet(const FleetScenario& scenario, std::uint64_t seed);
 
-    // Plays the scenario to its end. Precondition: called once.
+    // Runs the scenario to its end. May be called once only.
     OverloadTally run();
 
 private:
@@ -72,22 +72,22 @@
         std::size_t gateway = 0;
         int gatewayRun = 0;
         std::size_t request = 0;
-        int number = 0;  // in its request, from 0
+        int number = 0;  // position among the attempts of its request, from 0
         std::size_t endpoint = 0;
         TimePoint sentAt{};
-        bool ended = false;  // for the gateway
+        bool ended = false;  // the gateway has received its outcome
     };
     struct StandInEndpoint {
         EndpointEntry entry;
         TimePoint drainsAt = TimePoint::max();
         int busyCores = 0;
-        std::deque<std::size_t> queue;                            // attempts
-        std::deque<std::pair<TimePoint, double>> windowAttempts;  // and their work
+        std::deque<std::size_t> queue;                            // indices of attempts
+        std::deque<std::pair<TimePoint, double>> windowAttempts;  // times and work of those in the window
         double windowWork = 0;
     };
     struct Gateway {
         std::unique_ptr<DecisionEngine> engine;
-        int run = 0;  // raised by each restart
+        int run = 0;  // number of starts
         std::vector<EndpointEntry> knownEndpoints;
     };
     struct ClientRequest {
@@ -103,7 +103,7 @@
         std::uint64_t order;
         std::function<void()> run;
 
-        // The earliest event is the greatest, as std::priority_queue needs it.
+        // The earliest event compares as the greatest, so that it is the top of a std::priority_queue.
         bool operator<(const ScheduledEvent& other) const;
     };
 
@@ -112,12 +112,12 @@
     void schedule(TimePoint when, std::function<void()> run);
     void runEventsUntil(TimePoint end);
 
-    // Capacity of a warm endpoint, in requests of mean work a second.
+    // Capacity of a warm endpoint, in requests of mean work per second.
     double warmCapacity() const;
     double capacityShareAt(const StandInEndpoint& endpoint, TimePoint when) const;
     double possibleWork(const StandInEndpoint& endpoint) const;
 
-    // Endpoints, and how gateways learn of them.
+    // Changes of endpoints and gateways.
     std::size_t startEndpoint(const std::string& name, TimePoint startedAt);
     void startAndAnnounce(const std::string& name);
     void announce(std::size_t endpoint);
@@ -131,12 +131,12 @@
     void startGateway(std::size_t index);
     void feed(std::size_t gateway, const Event& event);
 
-    // Requests of clients.
+    // Clients.
     void arriveRequest();
     void sendRequest(ClientRequest request);
     void repeatRejected(std::size_t rejected);
 
-    // Attempts at endpoints.
+    // Endpoints.
     void receiveAttempt(std::size_t gateway, const SendAttempt& send);
     void beginWork(std::size_t attempt);
     void finishWork(std::size_t attempt);
@@ -150,7 +150,7 @@
     std::uint64_t nextOrder_ = 0;
     std::priority_queue<ScheduledEvent> events_;
     std::deque<StandInEndpoint> endpoints_;
-    // Under a name that came back, the later endpoint.
+    // The latest endpoint of each name.
     std::unordered_map<EndpointId, std::size_t> endpointByName_;
     std::vector<Gateway> gateways_;
     std::deque<ClientRequest> requests_;
--- a/tests/support/slow_start_fleet_endpoints.cpp
+++ b/tests/support/slow_start_fleet_endpoints.cpp
@@ -1,4 +1,4 @@
-// The stand-in endpoints of the simulated fleet, and the measurement of what they receive.
+// The simulated endpoints of the fleet, and the statistics on the attempts that they receive.
 #include <algorithm>
 #include <cmath>
 
@@ -81,7 +81,7 @@
     attempt.ended = true;
     const ClientRequest& request = requests_[attempt.request];
     if (outcome == Outcome::ok && request.isMeasured) ++tally_.served;
-    if (gateways_[attempt.gateway].run != attempt.gatewayRun) return;  // it has restarted
+    if (gateways_[attempt.gateway].run != attempt.gatewayRun) return;  // the gateway has restarted
     const StandInEndpoint& endpoint = endpoints_[attempt.endpoint];
     AttemptEnded ended;
     ended.request = RequestId(std::to_string(attempt.request));
@@ -97,7 +97,7 @@
     feed(attempt.gateway, ended);
 }
 
-// Counts the window that ends at an attempt which an endpoint that is warming up receives.
+// Evaluates the window that ends now, when the endpoint receives an attempt, if the endpoint is warming up.
 void SlowStartFleet::countWindow(StandInEndpoint& endpoint, double work) {
     const double share = capacityShareAt(endpoint, now_);
     if (share >= 1) return;
