--- a/src/simulator/wire_reader.cpp
+++ b/src/simulator/wire_reader.cpp
@@ -42,7 +42,7 @@
 
 EndpointEntry readEndpoint(const Fields& fields) {
     EndpointEntry entry;
-    entry.endpoint = readEndpointId(fields);
+    entry.id = readEndpointId(fields);
     entry.availability = fields.choice<Availability>(
         "availability",
         {{"IN", Availability::up}, {"LAME", Availability::draining}, {"OUT", Availability::removed}});
@@ -85,11 +85,12 @@
     ended.endpoint = readEndpointId(fields);
     ended.outcome = readOutcome(fields);
     ended.elapsed = fields.seconds("waitTimeS", 0);
-    ended.closed = fields.flag("last");
-    if (const double billed = fields.number("billed", 0); billed > 0) ended.trueCost = billed;
+    ended.requestClosed = fields.flag("last");
+    if (const double billed = fields.number("billed", 0); billed > 0) ended.actualCost = billed;
     // The wire has the meter's percentage plus 1; 0 means that there is none.
-    if (const double metered = fields.number("metered", 0); metered > 0) ended.meteredPercent = metered - 1;
-    ended.report = readReport(fields);
+    if (const double metered = fields.number("metered", 0); metered > 0)
+        ended.quotaUsagePercent = metered - 1;
+    ended.loadReport = readReport(fields);
     return ended;
 }
 
--- a/tests/decision/upstream/endpoint_test.cpp
+++ b/tests/decision/upstream/endpoint_test.cpp
@@ -16,7 +16,7 @@
 
     static EndpointEntry entry(Availability availability, TimePoint startedAt = {}) {
         EndpointEntry entry;
-        entry.endpoint = EndpointId("e0");
+        entry.id = EndpointId("e0");
         entry.availability = availability;
         entry.startedAt = startedAt;
         return entry;
@@ -81,8 +81,8 @@
 TEST_F(EndpointTest, ReportedLoadExcludesOwnAttemptsStillInFlight) {
     endpoint.beginAttempt(1);
     AttemptEnded ended;
-    ended.report.emplace();
-    ended.report->inFlight = 1;
+    ended.loadReport.emplace();
+    ended.loadReport->inFlight = 1;
     endpoint.observeAttempt(ended, AttemptSample{}, kNow);
     EXPECT_EQ(endpoint.load().remoteInFlight(), 0);
 }
