--- a/src/decision/quota/ceiling_bucket.cpp
+++ b/src/decision/quota/ceiling_bucket.cpp
@@ -8,7 +8,7 @@
 namespace gateway {
 namespace {
 
-// The longest time that a first fill covers. TenantTable forgets a tenant after so long without a request.
+// The longest time that a first refill covers. TenantTable evicts a tenant after this idle time.
 constexpr Duration kMaxFirstFill = 2 * kMaxCounterNameLifetime;
 
 }  // namespace
@@ -28,8 +28,8 @@
     const TimePoint since = isFirstFill ? std::max(startedAt, now - kMaxFirstFill) : bucket.filledAt;
     const double share = 1.0 / tenant.entryPoints;
     const double rate = plan.ceilingRate - (settings_.counterEnabled ? plan.rate : 0);
-    // After a change of the entry points, the smaller share applies to the time since the last fill: the
-    // other gateways may have drawn the difference.
+    // If the number of entry points has changed, the smaller share applies to the time since the last refill:
+    // the other gateways may have consumed the difference.
     const double filled = toSeconds(now - since) * std::max(0.0, rate) * std::min(share, bucket.share);
     bucket.tokens = std::min(capacity(tenant, plan), bucket.tokens + filled);
     bucket.share = share;
--- a/src/decision/quota/ceiling_bucket.h
+++ b/src/decision/quota/ceiling_bucket.h
@@ -1,9 +1,11 @@
-// A token bucket for requests of a plan with a ceiling that are admitted without a reply of the counter.
+// A token bucket for requests that are admitted without a reply from the counter, under a plan with a
+// ceiling.
 //
-// Admissions on a reply stay within the quota, as the reported total includes what the other gateways have
-// posted. Admissions without a reply draw from this gateway's part of what the ceiling allows beyond the
-// quota, and are refunded when a later reply shows that they were within the quota. So n gateways together
-// forward at most quota + n * (ceiling - quota) / n, however unevenly the tenant's requests are spread.
+// A request that is admitted after a reply stays within the quota, because the reported total includes the
+// cost that the other gateways have posted. A request that is admitted without a reply consumes tokens of
+// this gateway's share of the difference between ceiling and quota; the tokens are refunded when a later
+// reply shows that the request was within the quota. All n gateways together therefore forward at most quota
+// + n * (ceiling - quota) / n, however unevenly the tenant's requests are distributed.
 #pragma once
 
 #include "decision/quota/tenant.h"
@@ -11,18 +13,18 @@
 
 namespace gateway {
 
-// Decides on the CeilingTokens of the tenants that it is handed. Costs are in the plan's cost unit.
+// Operates on Tenant::ceiling and keeps no state of its own. Costs are in the plan's cost unit.
 class CeilingBucket {
 public:
     // `settings` must outlive the bucket.
     explicit CeilingBucket(const Settings& settings) : settings_(settings) {}
 
-    // Fills the tenant's bucket up to `now` and draws `cost`. Returns false, and draws nothing, with too few
-    // tokens. `startedAt` is when this gateway started: the bucket is empty then, as an earlier incarnation
-    // of the gateway may just have drawn all tokens.
+    // Refills the tenant's bucket up to `now` and consumes `cost` tokens. Returns false, and consumes
+    // nothing, if the bucket has fewer tokens. `startedAt` is when this gateway started: the bucket is empty
+    // at that time, because the process before a restart may have consumed all tokens.
     bool tryDraw(Tenant& tenant, const QuotaPlan& plan, double cost, TimePoint now, TimePoint startedAt);
 
-    // Refunds cost that a reply of the counter has shown to be within the quota.
+    // Refunds the cost of requests that a counter reply has shown to be within the quota.
     void refundConfirmed(Tenant& tenant, const QuotaPlan& plan, double cost);
 
     // Refunds the cost of a request that reached no endpoint.
--- a/src/decision/quota/tenant.h
+++ b/src/decision/quota/tenant.h
@@ -1,4 +1,4 @@
-// What one gateway keeps of one tenant.
+// The state that one gateway keeps for one tenant.
 #pragma once
 
 #include <vector>
@@ -10,29 +10,29 @@
 
 namespace gateway {
 
-// A gateway's part of what a plan's ceiling allows beyond the quota, as a token bucket. CeilingBucket changes
-// it.
+// The state of a token bucket: this gateway's share of the difference between a plan's ceiling and its quota.
+// CeilingBucket updates it.
 struct CeilingTokens {
     double tokens = 0;
-    double share = 1;      // of the ceiling, as of the last fill
-    TimePoint filledAt{};  // the epoch if never
+    double share = 1;      // this gateway's share of the ceiling at the last refill
+    TimePoint filledAt{};  // time of the last refill; the epoch before the first
 };
 
-// State alone; the other parts of the quota module decide on it.
+// Holds data only; the other classes of the quota module update it.
 struct Tenant {
     TenantId id{};
     QuotaPlanIndex plan{};
-    int entryPoints = 1;              // gateways through which its requests may arrive; at least 1
-    int inFlight = 0;                 // attempts of this gateway
-    std::vector<WindowSlice> slices;  // the previous one and the current one; empty before the first charge
+    int entryPoints = 1;              // gateways at which its requests may arrive; at least 1
+    int inFlight = 0;                 // attempts in flight from this gateway
+    std::vector<WindowSlice> slices;  // the previous and the current one; empty before the first charge
     TenantUsage usage;
     CeilingTokens ceiling;
-    TimePoint rejectedAt{};  // when a total of the counter last left no quota; the epoch if none did
+    TimePoint rejectedAt{};  // when a counter reply left no quota; the epoch if the latest reply left some
     TimePoint usedAt{};      // when its latest request was handled
 };
 
-// The tenant's slice with that index; null if it is not in the window. The pointer is valid until the next
-// QuotaWindow::advance of the tenant.
+// Returns the tenant's slice with that index, or null if the window does not contain it. The pointer is valid
+// until QuotaWindow::advance is next called for the tenant.
 WindowSlice* findSlice(Tenant& tenant, SliceIndex index);
 
 }  // namespace gateway
--- a/src/decision/quota/tenant_table.cpp
+++ b/src/decision/quota/tenant_table.cpp
@@ -9,7 +9,7 @@
 
 constexpr int kTouchesPerSweep = 5000;
 constexpr Duration kForgetAfter =
-    2 * kMaxCounterNameLifetime;  // the counter has forgotten its slices by then
+    2 * kMaxCounterNameLifetime;  // the names of the tenant's slices have expired on the counter by then
 
 }  // namespace
 
--- a/src/decision/quota/tenant_table.h
+++ b/src/decision/quota/tenant_table.h
@@ -1,4 +1,4 @@
-// The tenants whose requests arrived here recently.
+// The tenants whose requests arrived at this gateway recently.
 #pragma once
 
 #include <unordered_map>
@@ -8,15 +8,15 @@
 
 namespace gateway {
 
-// Owns the tenants. References stay valid until the tenant is forgotten, which happens only within touch().
+// Owns the tenants. A reference to a tenant stays valid until touch() evicts the tenant.
 class TenantTable {
 public:
-    // The tenant of a request that is handled at `now`, added if it is new. A tenant that arrives under
-    // another plan starts with new state, as the slices of plans differ in length. Forgets tenants that are
-    // idle for long.
+    // Returns the tenant of a request that is handled at `now`, and adds the tenant if it is new. If the
+    // request names another plan than the tenant's previous request, the tenant's state is reset, because the
+    // slices of different plans differ in length. Evicts tenants that have been idle for long.
     Tenant& touch(const RequestArrived& arrival, TimePoint now);
 
-    // Null if no request of that tenant arrived recently.
+    // Returns null if no request of that tenant arrived recently.
     Tenant* find(TenantId id);
 
 private:
--- a/src/decision/quota/tenant_usage.cpp
+++ b/src/decision/quota/tenant_usage.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr double kInitialUtilization = 0.9;        // share of the quota
-constexpr double kClosedSliceRetainedShare = 0.5;  // of the earlier observations, at each closed slice
+constexpr double kClosedSliceRetainedShare = 0.5;  // of the costs of earlier closed slices
 constexpr double kMeterSmoothing = 0.15;
 constexpr double kDemandAveragingSlices = 2;
 constexpr double kPercentPerUnit = 100;
--- a/src/decision/quota/tenant_usage.h
+++ b/src/decision/quota/tenant_usage.h
@@ -1,4 +1,4 @@
-// What one gateway has observed of one tenant's use of its quota.
+// One gateway's observations of how much of its quota a tenant uses.
 #pragma once
 
 #include "decision/quota/window_slice.h"
@@ -7,38 +7,37 @@
 
 namespace gateway {
 
-// Changed by its record...() functions only; UsageEstimator draws conclusions from it. Costs are in the
-// plan's cost unit.
+// UsageEstimator derives its estimates from these observations. Costs are in the plan's cost unit.
 class TenantUsage {
 public:
-    // Cost admitted here in closed slices; each closed slice halves the weight of those before it.
+    // Cost that this gateway admitted in closed slices. Each closed slice halves the weight of earlier ones.
     double closedLocalCost() const { return closedLocalCost_; }
-    // The same over all gateways.
+    // Cost that all gateways admitted in closed slices, weighted like closedLocalCost().
     double closedTotalCost() const { return closedTotalCost_; }
-    // Cost per second that the tenant has requested here, averaged over about two slices.
+    // Cost per second that the tenant has requested at this gateway, averaged over about two slices.
     double demand() const { return demand_; }
     // When the counter last reported a total of any slice; the epoch if never.
     TimePoint totalReportedAt() const { return totalReportedAt_; }
-    // Share of its quota that the tenant uses over all gateways, by the usage meter and the counter's
-    // rejections.
+    // Share of its quota that the tenant uses across all gateways, as the usage meter and the counter show
+    // it.
     double meteredUtilization() const { return meteredUtilization_; }
 
-    // Assumes a utilization close to the quota until the usage meter reports one.
+    // Assumes that the tenant uses most of its quota until the usage meter reports otherwise.
     void assumeInitialUtilization();
 
-    // The tenant requested `cost` under that plan at `now`.
+    // Records that the tenant requested `cost` under that plan at `now`.
     void recordDemand(double cost, const QuotaPlan& plan, TimePoint now);
 
-    // The slice has left the window. Without a reported total it shows nothing.
+    // Records a slice that has left the window. Ignores a slice without a reported total.
     void recordClosedSlice(const WindowSlice& slice);
 
-    // The counter reported a total at `now`.
+    // Records that the counter reported a total at `now`.
     void recordTotal(TimePoint now) { totalReportedAt_ = now; }
 
-    // A response carried the usage meter's reading: the share of its quota that the tenant uses, in percent.
+    // Records a usage meter reading from a response: the share of its quota that the tenant uses, in percent.
     void recordMeter(double percent);
 
-    // The tenant's quota is exhausted, so at least all of it is in use.
+    // Records that the tenant has exhausted its quota: its metered utilization becomes at least 1.
     void recordExhausted();
 
 private:
--- a/src/decision/quota/usage_estimator.cpp
+++ b/src/decision/quota/usage_estimator.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 constexpr double kLowLocalTrafficShare = 0.1;
-constexpr double kPenaltyTrustMultiplier = 5;  // how fast trust falls as an over-quota request earns more
-constexpr double kMinTrafficMultiplier = 0.5;  // of an even share over the tenant's entry points
+constexpr double kPenaltyTrustMultiplier = 5;
+constexpr double kMinTrafficMultiplier = 0.5;  // of an even share among the tenant's entry points
 
 }  // namespace
 
@@ -20,7 +20,8 @@
 double UsageEstimator::trafficShare(const Tenant& tenant) const {
     const QuotaPlan& plan = planOf(tenant);
     const double window = plan.burst + plan.rate * sliceSeconds(plan);
-    // Until closed slices outweigh half a window, an even share over the entry points is assumed.
+    // The prior assumes an even share among the entry points. It has the weight of half the cost that the
+    // quota admits in one slice.
     const double prior = std::max({window, settings_.maxRequestCost, 1.0}) / 2;
     const TenantUsage& usage = tenant.usage;
     const double share =
@@ -38,7 +39,7 @@
 
 double UsageEstimator::estimatedRemoteUsage(const Tenant& tenant, double cost) const {
     const QuotaPlan& plan = planOf(tenant);
-    // The estimate counts less, the more an over-quota request earns beyond its penalty.
+    // The more an over-quota request earns beyond its penalty, the lower is the weight of the estimate.
     const double loss = plan.overQuotaPenalty - plan.overQuotaWeight;
     const double trust =
         settings_.counterEnabled ? std::clamp(1 + kPenaltyTrustMultiplier * loss, 0.0, 1.0) : 1.0;
--- a/src/decision/quota/usage_estimator.h
+++ b/src/decision/quota/usage_estimator.h
@@ -1,4 +1,4 @@
-// Estimates a tenant's use of its quota over all gateways from the part of its requests that arrives here.
+// Estimates a tenant's usage across all gateways from the requests that arrive at this one.
 #pragma once
 
 #include "decision/quota/tenant.h"
@@ -6,26 +6,26 @@
 
 namespace gateway {
 
-// Queries alone; the observations are in TenantUsage.
+// Stateless; Tenant::usage holds the observations.
 class UsageEstimator {
 public:
     // `settings` must outlive the estimator.
     explicit UsageEstimator(const Settings& settings) : settings_(settings) {}
 
-    // The plan that the tenant's latest request named.
+    // Returns the plan that the tenant's latest request named.
     const QuotaPlan& planOf(const Tenant& tenant) const;
 
-    // The share of the tenant's cost that is admitted here, from above 0 to 1.
+    // Returns the estimated share of the tenant's cost that this gateway admits, above 0 and at most 1.
     double trafficShare(const Tenant& tenant) const;
 
-    // Whether so small a share of the tenant's traffic arrives here that it hardly shows the tenant's use.
+    // Whether too small a share of the tenant's traffic arrives at this gateway to estimate its total usage.
     bool hasLowLocalTraffic(const Tenant& tenant) const;
 
-    // The same, where the usage meter in the responses shows the tenant's use instead.
+    // Whether the tenant has low local traffic and the usage meter in responses shows its usage instead.
     bool reliesOnMeter(const Tenant& tenant) const;
 
-    // The cost that the other gateways are estimated to admit while this one admits `cost` without a reply of
-    // the counter.
+    // Returns the cost that the other gateways are estimated to admit while this one admits `cost` without a
+    // reply from the counter.
     double estimatedRemoteUsage(const Tenant& tenant, double cost) const;
 
 private:
