--- a/src/decision/quota/quota_charge.h
+++ b/src/decision/quota/quota_charge.h
@@ -1,20 +1,20 @@
-// What one request has charged to its tenant's quota.
+// The charge of one request to its tenant's quota.
 #pragma once
 
 #include "decision/quota/slice_schedule.h"
 
 namespace gateway {
 
-// Kept with the request while it is in flight. QuotaAdmission and CounterLedger change it; the engine counts
-// `pendingReplies` down.
+// Kept with the request while it is in flight. QuotaAdmission and CounterLedger update it; RequestLifecycle
+// decrements `pendingReplies`.
 struct QuotaCharge {
     SliceIndex sliceIndex{};        // the slice that is charged
-    double amount = 0;              // cost posted for it: its own cost times its sample weight
-    bool posted = false;            // the counter includes the charge, or may include it
+    double amount = 0;              // cost to post: the request's cost times its sample weight
+    bool posted = false;            // the counter includes the charge, or is assumed to
     bool confirmed = false;         // the counter replied with a total that includes the charge
     bool coveredBySamples = false;  // not sampled: the sample weights of other requests cover its cost
-    bool drawnFromCeiling = false;  // its cost was drawn from the tenant's part of the ceiling
-    int pendingReplies = 0;         // replies of the counter that the decision waits for
+    bool drawnFromCeiling = false;  // consumed tokens of the tenant's CeilingTokens
+    int pendingReplies = 0;         // counter replies that the admission decision still waits for
 };
 
 }  // namespace gateway
--- a/src/decision/quota/quota_window.cpp
+++ b/src/decision/quota/quota_window.cpp
@@ -7,7 +7,7 @@
 namespace gateway {
 namespace {
 
-constexpr double kCostRoundingMargin = 1e-6;  // the counter sums costs as decimal numbers
+constexpr double kCostRoundingMargin = 1e-6;  // rounding error of the counter's decimal sums
 
 }  // namespace
 
@@ -26,7 +26,7 @@
     return slices.back();
 }
 
-// Until the counter replies for it, a new slice has the known debt of the slice before it.
+// A new slice starts with the known debt of the preceding slice, until the counter reports its total.
 WindowSlice QuotaWindow::openNext(const Tenant& tenant, SliceIndex current) const {
     if (tenant.slices.empty()) return WindowSlice(previousSlice(current));
     const QuotaPlan& plan = usage_.planOf(tenant);
@@ -40,7 +40,7 @@
 double QuotaWindow::estimatedTotal(const Tenant& tenant, const WindowSlice& slice, TimePoint now) const {
     if (!usage_.reliesOnMeter(tenant))
         return slice.total() + slice.admittedSinceTotal() + slice.remoteSinceTotal();
-    // The other gateways together are not estimated to admit more than the plan's rate.
+    // The estimate of remote usage is limited to the plan's rate.
     const QuotaPlan& plan = usage_.planOf(tenant);
     const double since = std::max(secondsSinceEpoch(slice.totalReportedAt()),
                                   sliceStartSeconds(tenant.id, plan, slice.index()));
@@ -98,7 +98,7 @@
     return std::max(0.0, total - plan.rate * sliceSeconds(plan));
 }
 
-// At least the cost of any one request, so that each can be admitted.
+// At least the largest request cost, so that every request can be admitted at some time.
 double QuotaWindow::maxBurst(const QuotaPlan& plan) const {
     return std::max(plan.burst, settings_.maxRequestCost);
 }
--- a/src/decision/quota/slice_key.h
+++ b/src/decision/quota/slice_key.h
@@ -1,4 +1,4 @@
-// Identifies one slice of one tenant, and translates it to and from its name on the counter service.
+// Identifies one slice of one tenant, and converts the identifier to and from a name on the counter service.
 #pragma once
 
 #include <string>
@@ -9,7 +9,6 @@
 
 namespace gateway {
 
-// A value; two keys are equal if tenant and index are.
 struct SliceKey {
     TenantId tenant{};
     SliceIndex index{};
@@ -17,10 +16,10 @@
     friend bool operator==(const SliceKey&, const SliceKey&) = default;
 };
 
-// The name under which the counter service keeps the slice's total: "q<tenant>.<index>".
+// Returns the name under which the counter service keeps the slice's total: "q<tenant>.<index>".
 std::string formatSliceKey(const SliceKey& key);
 
-// The slice that a counter name identifies. Does not throw: a number that is missing or malformed is 0.
+// Returns the slice that a counter name identifies. A number that is missing or malformed is read as 0.
 SliceKey parseSliceKey(std::string_view name);
 
 }  // namespace gateway
--- a/src/decision/quota/slice_schedule.cpp
+++ b/src/decision/quota/slice_schedule.cpp
@@ -13,7 +13,7 @@
 constexpr double kMinRate = 1e-9;  // cost per second; avoids a division by zero
 constexpr std::uint64_t kPhaseSteps = 1024;
 constexpr std::uint64_t kPhaseHashFactor =
-    2654435761;  // Knuth's multiplicative hash: spreads consecutive ids
+    2654435761;  // Knuth's multiplicative hash: consecutive ids get distant phases
 
 }  // namespace
 
--- a/src/decision/quota/window_slice.cpp
+++ b/src/decision/quota/window_slice.cpp
@@ -61,7 +61,7 @@
         later.postedUpToHere_ -= call.amount_;
         later.refundedUpToHere_ -= call.carriedRefund_;
     }
-    // A decision before the reply assumed that the counter includes the charge.
+    // A decision made before the reply assumed that the counter would include the charge.
     if (call.admission_ == Admission::admitted) pendingCharge_ += call.charge_;
     if (call.admission_ == Admission::rejected) {
         pendingRefund_ -= call.charge_;
@@ -79,7 +79,7 @@
     hasTotal_ = true;
     totalReportedAt_ = reported.reportedAt;
     remoteSinceTotal_ = reported.estimatedRemote;
-    // total_ includes the lost cost already, so it is pending without being admitted since the total.
+    // total_ already includes the lost cost, so the cost is pending but not part of admittedSinceTotal_.
     pendingCharge_ += reported.lost;
     posted_ -= reported.lost;
     for (CounterCall& later : calls_) later.postedUpToHere_ -= reported.lost;
--- a/src/decision/quota/window_slice.h
+++ b/src/decision/quota/window_slice.h
@@ -1,9 +1,9 @@
-// One slice of a tenant's sliding window as one gateway sees it, with its calls to the counter service in
-// flight.
+// One gateway's view of one slice of a tenant's sliding window, with the calls to the counter service that
+// are in flight for it.
 //
-// The counter service keeps the slice's total over all gateways. A WindowSlice keeps the last reported total,
-// an estimate of what was admitted since that report, and what this gateway has posted or has yet to post. It
-// decides nothing and does no I/O. All amounts are costs in the plan's cost unit.
+// The counter service keeps the slice's total across all gateways. A WindowSlice keeps the last reported
+// total, an estimate of the cost admitted since that report, and the amounts that this gateway has posted or
+// has yet to post. It makes no admission decisions. All amounts are costs in the plan's cost unit.
 #pragma once
 
 #include <deque>
@@ -15,23 +15,24 @@
 
 namespace gateway {
 
-// The decision on a request whose charge the counter has not yet replied to.
+// The decision on a request whose charge is in flight to the counter.
 enum class Admission { pending, admitted, rejected };
 
-// One add to a slice's name on the counter, in flight. Only its WindowSlice changes it.
+// A call in flight that adds to a slice's total on the counter service. Only its WindowSlice changes it.
 class CounterCall {
 public:
-    // The request whose charge the call posts; none for a call that flushes or reads.
+    // The request whose charge the call posts; none for a flush or a read.
     RequestKey request() const { return request_; }
-    // The request that waits for the slice's total without charging the slice; none for other calls.
+    // The request that waits for the slice's total without charging the slice; none unless the call is a
+    // read.
     RequestKey reader() const { return reader_; }
     // The charge of request().
     double charge() const { return charge_; }
     // The cost that the call adds on the counter: charge(), plus the carried charge, less the carried refund.
     double amount() const { return amount_; }
-    // The decision on request(), as far as it came before the reply.
+    // The decision on request(); pending if the request still waits for the reply.
     Admission admission() const { return admission_; }
-    // Of the carried charge, the cost that was admitted without a reply.
+    // The part of the carried charge that was admitted without a reply.
     double carriedUnconfirmed() const { return carriedUnconfirmed_; }
     // carriedUnconfirmed() and, if request() was admitted before the reply, its cost.
     double unconfirmed() const { return unconfirmed_; }
@@ -46,115 +47,117 @@
     double charge_ = 0;
     double amount_ = 0;
     Admission admission_ = Admission::pending;
-    double carriedCharge_ = 0;     // admitted earlier and posted by this call
-    double carriedRefund_ = 0;     // of requests rejected or not sent earlier
+    double carriedCharge_ = 0;     // pending charge that this call posts
+    double carriedRefund_ = 0;     // pending refunds that this call posts
     double refundedUpToHere_ = 0;  // all refunds posted under the slice's name, up to and including this call
-    double carriedUnconfirmed_ = 0;  // see carriedUnconfirmed()
-    double unconfirmed_ = 0;         // see unconfirmed()
-    double postedUpToHere_ = 0;      // see postedUpToHere()
+    double carriedUnconfirmed_ = 0;
+    double unconfirmed_ = 0;
+    double postedUpToHere_ = 0;
 };
 
-// A slice's total as a reply of the counter reports it.
+// A slice's total as a counter reply reports it.
 struct CounterTotal {
-    double sum = 0;   // over all gateways
-    double lost = 0;  // posted by this gateway and missing in `sum`; 0 unless the counter lost counts
-    double estimatedRemote = 0;  // admitted by other gateways and not yet included in `sum`
+    double sum = 0;   // across all gateways
+    double lost = 0;  // posted by this gateway and missing from `sum`; 0 unless the counter lost counts
+    double estimatedRemote = 0;  // admitted by the other gateways and not yet included in `sum`
     TimePoint reportedAt{};
 };
 
-// Cost admitted without a reply of the counter, here and, as estimated, at the other gateways meanwhile.
+// Cost that was admitted without a counter reply: by this gateway, and meanwhile by the others.
 struct UnconfirmedCost {
     double local = 0;
     double estimatedRemote = 0;
 };
 
-// The debt of a slice's total, and of the cost that is not yet included in that total.
+// The debt with which a slice opens.
 struct OpeningDebt {
-    double inTotal = 0;
-    double sinceTotal = 0;
+    double inTotal = 0;     // debt of the preceding slice's known total
+    double sinceTotal = 0;  // further debt from cost that this total does not include yet
 };
 
-// Invariants, between any two calls of its functions:
+// Invariants that hold after every public function:
 //
 // Cost is pending, in flight or on the counter. posted() + pendingCharge() - pendingRefund() changes only by
-// the charge of a request, a refund, a reconciliation, carried debt or the sampling of a pending charge. The
-// begin of a call, the withdrawal of what it carried and a reported loss only move cost between the three
-// terms.
+// the charge of a request, a refund, a reconciliation, carried debt or the sampling of a pending charge. A
+// call that begins, a call that is withdrawn and a reported loss only move cost between the three terms.
 //
 // refunds() == pendingRefund() + postedRefund().
 //
 // Calls end in the order in which they began. The newest call in flight has postedUpToHere() == posted().
 class WindowSlice {
 public:
-    // `debt`: what the slice before it leaves, as far as it is known when this slice opens.
+    // `debt`: the known debt of the preceding slice.
     explicit WindowSlice(SliceIndex index, const OpeningDebt& debt = {})
         : index_(index), total_(debt.inTotal), admittedSinceTotal_(debt.sinceTotal) {}
 
     SliceIndex index() const { return index_; }
 
-    // ---- The slice's use over all gateways ----
+    // ---- Usage across all gateways ----
 
-    // The last reported total plus carried debt, less refunds of this gateway that the total does not include
+    // The last reported total plus carried debt, less this gateway's refunds that the total does not include
     // yet.
     double total() const { return total_; }
     // Whether the counter has reported a total.
     bool hasTotal() const { return hasTotal_; }
     // When the counter last reported a total.
     TimePoint totalReportedAt() const { return totalReportedAt_; }
-    // Admitted here and not yet included in total().
+    // Cost that this gateway admitted and total() does not include yet.
     double admittedSinceTotal() const { return admittedSinceTotal_; }
-    // Estimated remote usage that is not yet included in total().
+    // Estimated cost that the other gateways admitted and total() does not include yet.
     double remoteSinceTotal() const { return remoteSinceTotal_; }
-    // Admitted here in all.
+    // All cost that this gateway admitted.
     double ownAdmitted() const { return ownAdmitted_; }
-    // Capacity beyond the burst that was seen unused: it has expired.
+    // Capacity beyond the burst that has expired unused.
     double expiredBurst() const { return expiredBurst_; }
 
-    // Expires unused capacity up to `cost` in all. Has no effect before the first reported total.
+    // Raises expiredBurst() to `cost` unless it is higher already. Has no effect before the first reported
+    // total.
     void expireBurst(double cost);
 
-    // ---- What this gateway has posted and has yet to post ----
+    // ---- Posted and pending amounts ----
 
     // Admitted, reconciled or carried cost that the next call posts.
     double pendingCharge() const { return pendingCharge_; }
-    // Of pendingCharge(), the cost that was admitted without a reply of the counter.
+    // The part of pendingCharge() that was admitted without a counter reply.
     double pendingUnconfirmed() const { return pendingUnconfirmed_; }
     // Refunds that the next call posts.
     double pendingRefund() const { return pendingRefund_; }
     // All refunds: pending, in flight or on the counter.
     double refunds() const { return refunds_; }
-    // Of refunds(), those in flight or on the counter.
+    // The part of refunds() that is in flight or on the counter.
     double postedRefund() const { return postedRefund_; }
     // All cost in flight or on the counter, less the posted refunds.
     double posted() const { return posted_; }
     bool hasPending() const { return pendingCharge_ != 0 || pendingRefund_ != 0; }
-    // Whether a call has posted the charge of a request to this slice.
+    // Whether any call has posted the charge of a request to this slice.
     bool hasChargeCalls() const { return hasChargeCalls_; }
     bool hasCallInFlight() const { return !calls_.empty(); }
 
-    // Each puts a call in flight that carries all that is pending. The reference is valid until the next
-    // change of the slice.
+    // Each of these functions adds a call in flight that carries all pending amounts. The reference is valid
+    // until the slice is next modified.
     const CounterCall& beginChargeCall(RequestKey request, double charge);
     const CounterCall& beginReadCall(RequestKey reader);
     const CounterCall& beginFlushCall();
 
-    // Takes the oldest call out of flight. Precondition: hasCallInFlight().
+    // Removes and returns the oldest call in flight. Precondition: hasCallInFlight().
     CounterCall endOldestCall();
 
-    // Reverses an ended call that the counter did not count: what it carried is pending again. The charge of
-    // an admitted request becomes pending; that of a rejected one needs no refund any more.
+    // Reverses an ended call that the counter did not count: the amounts that it carried become pending
+    // again. The charge of its request becomes pending if the request was admitted, and is no longer refunded
+    // if the request was rejected.
     void withdraw(const CounterCall& call);
 
-    // Takes in the total that the counter reported in reply to the ended `call`. Lost cost is pending again.
+    // Applies the total that the counter reported in reply to the ended `call`. Lost cost becomes pending
+    // again.
     void applyTotal(const CounterCall& call, const CounterTotal& reported);
 
     // ---- Requests ----
 
-    // A request with that charge was admitted at `cost`. The cost becomes pending unless a call of the
-    // request or the calls of sampled requests post it.
+    // Records that a request with that charge was admitted at `cost`. The cost becomes pending unless a call
+    // for the request or the calls for sampled requests post it.
     void recordAdmitted(RequestKey request, const QuotaCharge& charge, double cost);
 
-    // Adds cost that was admitted without a reply; negative amounts take it back.
+    // Adds cost that was admitted without a counter reply; negative amounts subtract it again.
     void addUnconfirmed(const UnconfirmedCost& cost);
 
     // Refunds the charge of a rejected request. Returns false, and changes nothing, if no call has posted it.
@@ -163,21 +166,21 @@
     // Refunds the charge of a request that was admitted at `cost` and reached no endpoint.
     void refundAdmitted(const QuotaCharge& charge, double cost);
 
-    // Adds an admitted request's actual cost less its charge; negative for a refund.
+    // Adds `difference`, the actual cost of an admitted request less its charge; negative for a refund.
     void reconcile(double difference);
 
     // ---- Debt and flushes ----
 
     bool hasCarriedDebt() const { return hasCarriedDebt_; }
 
-    // Carries the debt of the preceding slice forward into this one, once. Precondition: !hasCarriedDebt().
+    // Carries the debt of the preceding slice forward into this one. Precondition: !hasCarriedDebt().
     void carryDebt(double debt);
 
-    // Replaces the pending charge by a sample of it: dropped, or weighted by 1 / `probability`.
+    // These two functions sample the pending charge: it is dropped, or weighted by 1 / `probability`.
     void dropPendingCharge() { pendingCharge_ = 0; }
     void weightPendingCharge(double probability) { pendingCharge_ /= probability; }
 
-    // Whether a timer is set that flushes what is pending.
+    // Whether a timer is running that flushes the pending amounts.
     bool isFlushScheduled() const { return isFlushScheduled_; }
     void setFlushScheduled(bool scheduled) { isFlushScheduled_ = scheduled; }
 
