--- a/src/decision/quota/counter_ledger.cpp
+++ b/src/decision/quota/counter_ledger.cpp
@@ -10,26 +10,26 @@
 constexpr double kFlushDelaySliceShare = 0.1;
 constexpr double kDebtReadUtilization = 0.5;
 
-// A total that is short of what was posted by less than this is not taken for lost counts.
-constexpr double kMinLostBurstShare = 0.5;  // with reconciliation
-constexpr double kMinLostCost = 0.5;        // without
+// The smallest shortage of a total, compared with the posted cost, that indicates lost counts.
+constexpr double kMinLostBurstShare = 0.5;  // with reconciliation, as a share of the burst
+constexpr double kMinLostCost = 0.5;        // without reconciliation
 
-// The total of the call that opens a slice exceeds its charge by no more than this.
+// A call opened its slice if the reported total exceeds its charge by at most this.
 constexpr double kOpeningCostMargin = 0.5;
 
-// The counter has most likely counted a call without a reply or with a malformed one: a congested counter
-// still works on calls that nobody waits for. Posting such a call again could exhaust the tenant's quota. If
-// it was lost, the next total is short of what was posted.
+// Whether the counter has counted a call, or most likely has. A congested counter still processes calls that
+// have timed out, and posting such a call again could exhaust the tenant's quota. If the call was lost after
+// all, the next total is lower than the posted cost.
 bool wasCounted(Outcome outcome) {
     return outcome == Outcome::ok || outcome == Outcome::timedOut || outcome == Outcome::reset;
 }
 
-// Records in the request's charge how the call that posted it ended.
+// Records the outcome of the call that posted the request's charge.
 void recordChargeReply(Request& request, Outcome outcome) {
     QuotaCharge& charge = request.charge;
     charge.posted = wasCounted(outcome);
     charge.confirmed = outcome == Outcome::ok;
-    // A call that was not counted covers no unsampled requests: only its own cost is charged.
+    // A call that was not counted covers no unsampled requests, so the sample weight no longer applies.
     if (!charge.posted) charge.amount = request.arrival.cost;
 }
 
@@ -85,7 +85,7 @@
                                TimePoint now) {
     const QuotaPlan& plan = usage_.planOf(tenant);
     const double lost = lostCost(plan, call, total);
-    // Meanwhile the other gateways have admitted cost that they had not posted yet, as this gateway had.
+    // The other gateways are assumed to have admitted cost without posting it, as this gateway has.
     const double remote = usage_.estimatedRemoteUsage(tenant, call.carriedUnconfirmed());
     slice.applyTotal(call, {.sum = total, .lost = lost, .estimatedRemote = remote, .reportedAt = now});
     tenant.usage.recordTotal(now);
@@ -93,8 +93,8 @@
         ceiling_.refundConfirmed(tenant, plan, call.unconfirmed());
 }
 
-// A total that is short of what this gateway has posted shows that the counter lost counts. With
-// reconciliation, refunds of other gateways lower a total too, so only a larger shortage counts.
+// A total below the cost that this gateway has posted shows that the counter lost counts. With
+// reconciliation, refunds by other gateways lower the total too, so the threshold is higher.
 double CounterLedger::lostCost(const QuotaPlan& plan, const CounterCall& call, double total) const {
     const double shortage = call.postedUpToHere() - total;
     const double minLost = settings_.reconciliationEnabled
@@ -103,8 +103,8 @@
     return shortage < minLost ? 0 : shortage;
 }
 
-// The request whose call opened a slice also reads the closed slice before it, so that one gateway carries
-// its debt forward.
+// The request whose call opened a slice also waits for a read of the preceding, closed slice, so that one
+// gateway carries that slice's debt forward.
 void CounterLedger::readClosedSlice(EventContext& context, Tenant& tenant, const CounterCall& call,
                                     Request& request, const CounterReplied& reply) {
     WindowSlice* closed = findSlice(tenant, previousSlice(request.charge.sliceIndex));
@@ -116,7 +116,7 @@
     ++request.charge.pendingReplies;
 }
 
-// A congested counter is not called for a closed slice whose known usage was far below the quota.
+// A closed slice with low known usage is not read from a congested counter.
 bool CounterLedger::shouldReadClosedSlice(const Tenant& tenant, const WindowSlice& closed,
                                           TimePoint now) const {
     return !sampler_.isCongested() || window_.quotaUtilization(tenant, closed, now) > kDebtReadUtilization;
@@ -186,7 +186,7 @@
     WindowSlice* slice = tenant == nullptr ? nullptr : findSlice(*tenant, key.index);
     if (slice == nullptr) return;
     slice->setFlushScheduled(false);
-    // While the counter is unavailable, what is pending waits for the next call for the slice.
+    // While the counter is unavailable, the amounts stay pending until the next call for the slice.
     if (!slice->hasPending() || sampler_.isUnavailable()) return;
     if (mustSampleReconciliations(*tenant, *slice)) {
         const bool sampled = samplePendingCharge(context, *slice);
@@ -199,14 +199,14 @@
         scheduleFlush(context, *tenant, *slice);
 }
 
-// A congested counter can't take a call for every reconciliation of a tenant whose next call for the slice
-// may never come.
+// With low local traffic, often no further call carries a reconciliation, so that each needs a call of its
+// own. During congestion that is too many calls.
 bool CounterLedger::mustSampleReconciliations(const Tenant& tenant, const WindowSlice& slice) const {
     return sampler_.isCongested() && slice.pendingRefund() == 0 && usage_.reliesOnMeter(tenant);
 }
 
-// Returns whether the pending charge is in the sample. It is weighted then, so that on average the actual
-// cost is reconciled; otherwise it is dropped.
+// Weights the pending charge and returns true if it is sampled; otherwise drops it and returns false. On
+// average, the posted amount equals the pending charge.
 bool CounterLedger::samplePendingCharge(EventContext& context, WindowSlice& slice) {
     const double probability = sampler_.reconciliationProbability();
     const bool sampled = context.random.next() < probability;
--- a/src/decision/quota/counter_ledger.h
+++ b/src/decision/quota/counter_ledger.h
@@ -1,9 +1,10 @@
-// What this gateway posts to the counter service: charges, refunds and reconciliations of tenants' window
-// slices.
+// Posts this gateway's charges, refunds and reconciliations to the counter service, and applies the totals
+// that it reports to the window slices.
 //
-// Refunds and reconciliations are carried by the next call for their slice, or are flushed soon after. A
-// reconciliation is Šnuderl's post-request weight correction: the actual cost less the charge. A debt beyond
-// a closed slice's rate is carried forward into the next slice.
+// The next call for a slice carries its pending refunds and reconciliations; without such a call, a timer
+// flushes them. A reconciliation is the post-request weight correction of Šnuderl's "Rate limiting in API
+// management": the actual cost less the charge. If a closed slice's total exceeds what its rate allows, the
+// excess is carried forward into the next slice as debt.
 #pragma once
 
 #include <cstddef>
@@ -19,17 +20,17 @@
 
 namespace gateway {
 
-// Owns no state: it changes the slices and ceiling tokens of tenants, the charges of requests and the
-// sampler.
+// Keeps no state of its own: it updates the slices and ceiling tokens of tenants, the charges of requests and
+// the sampler.
 class CounterLedger {
 public:
-    // What a reply of the counter was for.
+    // The requests and the slice that a counter reply concerns.
     struct ReplyResult {
         RequestKey charged = RequestKey::none;  // the undecided request whose charge the call posted
         RequestKey reader = RequestKey::none;   // the request that waited for the slice's total only
         bool ok = false;                        // the counter reported a total
         TenantId tenant{};
-        // Position of the slice in Tenant::slices when the reply came; nothing if the slice is unknown. If
+        // Position of the slice in Tenant::slices when the reply arrived; empty if the slice is unknown. If
         // the decisions on the requests open a new slice, afterReply() finds another slice at that position:
         // see "Known faults" in docs/design.md.
         std::optional<std::size_t> slicePosition;
@@ -47,32 +48,33 @@
           tenants_(tenants),
           requests_(requests) {}
 
-    // Posts the request's charge to the slice, with all that is pending there. The request waits for the
-    // reply.
+    // Posts the request's charge, and the slice's pending amounts. Increments the request's pending replies.
     void postCharge(EventContext& context, const Tenant& tenant, WindowSlice& slice, Request& request);
 
-    // Takes in a reply, or the failure of a call. Each request of the result has one reply less to wait for.
-    // Replies for an unknown slice only inform the sampler.
+    // Processes a reply, or the failure of a call. The caller decrements the pending replies of the requests
+    // in the result. A reply for an unknown slice is reported to the sampler only.
     ReplyResult onReply(EventContext& context, const CounterReplied& reply);
 
-    // Schedules a flush of what is pending. To be called when the requests of the result have been decided.
+    // Schedules a flush of the slice's pending amounts. To be called after the requests of the result have
+    // been decided.
     void afterReply(EventContext& context, const ReplyResult& result);
 
     // Records the cost of an admitted request in the slice.
     void recordAdmitted(const Tenant& tenant, WindowSlice& slice, const Request& request);
 
-    // Refunds the charge of a rejected request at once, as other gateways may read the slice's total soon.
-    // `slice` may be null.
+    // Refunds the charge of a rejected request without delay, because other gateways may read the slice's
+    // total soon. `slice` may be null.
     void refundRejected(EventContext& context, const Request& request, WindowSlice* slice);
 
-    // Refunds the charge of an admitted request that reached no endpoint, and what it drew from the ceiling.
+    // Refunds the charge and the ceiling tokens of an admitted request that reached no endpoint.
     void refundUnsent(EventContext& context, const Request& request);
 
-    // Posts the request's actual cost less its charge as debt, or as refund if negative. Does nothing if the
-    // tenant has changed to another plan since.
+    // Adds `difference`, the request's actual cost less its charge, to the current slice; a negative one is a
+    // refund. Does nothing if the tenant has changed to another plan since the request arrived.
     void reconcile(EventContext& context, Tenant& tenant, const Request& request, double difference);
 
-    // Posts what is pending on a slice, or schedules a new flush if the counter is congested.
+    // Posts the pending amounts of a slice. If the counter is congested, the flush may be rescheduled; if it
+    // is unavailable, the amounts stay pending until the next call for the slice.
     void flush(EventContext& context, const SliceKey& key);
 
 private:
--- a/src/decision/quota/counter_sampler.cpp
+++ b/src/decision/quota/counter_sampler.cpp
@@ -8,13 +8,13 @@
 namespace gateway {
 namespace {
 
-constexpr double kMinSampleRate = 0.1;  // of requests; the calls that remain notice the counter's recovery
+constexpr double kMinSampleRate = 0.1;  // the remaining calls detect the counter's recovery
 constexpr double kRateIncreasePerReply = 0.01;
 constexpr double kRateIncreasePerIdleSecond = 0.05;
 constexpr Duration kMaxIdle = std::chrono::seconds(2);
 constexpr double kFailureRateMultiplier = 0.75;
 constexpr double kSlowReplyRateMultiplier = 0.97;
-constexpr double kSlowReplyShare = 0.3;  // of the way from the quickest reply's time to the time-out
+constexpr double kSlowReplyShare = 0.3;  // of the interval from the quickest reply's time to the timeout
 constexpr int kUnavailableFailures = 4;  // in a row
 constexpr double kReplyValueSmoothing = 0.02;
 constexpr double kMinReconciliationProbability = 0.25;
@@ -32,7 +32,7 @@
         recordTotal(reply.elapsed, idle);
         return;
     }
-    // A broken connection or a malformed reply does not indicate congestion.
+    // A single broken connection or malformed reply does not indicate congestion.
     const bool indicatesCongestion =
         reply.outcome != Outcome::reset || consecutiveFailures_ + 1 >= kUnavailableFailures;
     recordFailure();
--- a/src/decision/quota/quota_admission.cpp
+++ b/src/decision/quota/quota_admission.cpp
@@ -13,7 +13,7 @@
 constexpr double kMinReplyAgeShare = 0.1;
 constexpr double kMinReplyPenalty = 0.1;
 
-// A reply is worth less as long as the one before is fresh.
+// Age at which the last reported total is no longer fresh. While it is fresh, another reply has less value.
 constexpr double kFreshReplySliceShare = 0.1;
 
 // Upper bounds of the sample weight, which includes the sampled request itself.
@@ -22,8 +22,8 @@
 
 constexpr double kRejectedReplySmoothing = 0.02;
 
-// How steeply unconfirmed admissions fall as the metered utilization passes its limit, and by how much that
-// limit falls for a plan whose over-quota requests cost their full weight.
+// Parameters of the probability of unconfirmed admissions: the exponent of its decrease beyond the limit of
+// the metered utilization, and the reduction of that limit if over-quota requests cost their full weight.
 constexpr double kMeterExponent = 4;
 constexpr double kMeterMarginQuotaShare = 0.25;
 
@@ -42,8 +42,8 @@
     request.charge.amount = cost;
     if (current.total() > 0) {
         window_.expireCurrentSliceBurst(tenant, context.now);
-        // Rejecting now keeps the charge, which would soon be refunded, out of the totals that other gateways
-        // read.
+        // An immediate rejection posts no charge, so the totals that other gateways read don't include a
+        // charge that is about to be refunded.
         if (!window_.remainingQuota(tenant, current, current.total(), context.now).covers(cost))
             return Start::rejected;
     }
@@ -51,13 +51,13 @@
     const bool sampled = drawSample(context, tenant, current, request);
     if (!sampled) return Start::decideNow;
     ledger_.postCharge(context, tenant, current, request);
-    // Calls to an unavailable counter serve to notice its return; no request waits for their replies.
+    // Calls to an unavailable counter only detect its recovery; no request waits for their replies.
     return sampler_.isUnavailable() ? Start::decideNow : Start::waiting;
 }
 
-// Draws whether the request calls the counter and sets its charge accordingly. A congested counter is called
-// less. The next call of a frequent tenant carries what is admitted meanwhile; for a tenant without a call in
-// this slice, the sample weight of the requests that are sampled covers the others.
+// Decides whether the request calls the counter and sets its charge accordingly. During congestion only a
+// sample of the requests does. If the tenant has made a call in this slice, its next call carries the cost of
+// unsampled requests. Otherwise the sample weight of the sampled requests covers the unsampled ones.
 bool QuotaAdmission::drawSample(EventContext& context, Tenant& tenant, const WindowSlice& current,
                                 Request& request) {
     const double cost = request.arrival.cost;
@@ -74,13 +74,13 @@
     return sampled;
 }
 
-// The counter's reply is worth most for tenants close to their quota, and where an over-quota request costs
-// most.
+// A counter reply has the highest value for tenants that are close to their quota, and under plans whose
+// over-quota requests cost most.
 double QuotaAdmission::replyValue(const Tenant& tenant, const WindowSlice& slice, TimePoint now) const {
     const QuotaPlan& plan = usage_.planOf(tenant);
     const double utilization =
         std::clamp(window_.quotaUtilization(tenant, slice, now), kMinReplyUtilization, 1.0);
-    // The meter identifies the few tenants that are close to their quota, so the value concentrates on them.
+    // The meter shows which few tenants are close to their quota, so their replies get most of the value.
     const double weight = usage_.reliesOnMeter(tenant) ? utilization * utilization : utilization;
     const double age =
         toSeconds(now - tenant.usage.totalReportedAt()) / (kFreshReplySliceShare * sliceSeconds(plan));
@@ -115,8 +115,8 @@
             .retryAfter = window_.timeUntilQuota(tenant, request.arrival.cost, context.now)};
 }
 
-// The slice that the request was charged to, or the current one if that slice has left the window. Null for a
-// plan without a quota.
+// Returns the slice that the request was charged to, or the current one if that slice has left the window.
+// Returns null for a plan without a quota.
 WindowSlice* QuotaAdmission::advanceToChargedSlice(Tenant& tenant, const Request& request, TimePoint now) {
     if (usage_.planOf(tenant).rate <= 0) return nullptr;
     WindowSlice& current = window_.advance(tenant, now);
@@ -150,7 +150,7 @@
     const double total = window_.estimatedTotal(tenant, slice, now) - (isInTotal ? charge.amount : 0);
     window_.expireUnusedBurst(tenant, slice, total, now);
     bool fits = window_.remainingQuota(tenant, slice, total, now).covers(request.arrival.cost);
-    // The counter does not see this request: a recent rejection of a sampled one applies to it too.
+    // The counter is not called for this request, so a recent rejection by a counter reply applies to it too.
     const Duration sliceLength = fromSeconds(sliceSeconds(usage_.planOf(tenant)));
     if (charge.coveredBySamples && now < tenant.rejectedAt + sliceLength) fits = false;
     recordWindowDecision(tenant, charge, fits, now);
@@ -172,10 +172,11 @@
     return tenant.inFlight < std::max(1.0, share);
 }
 
-// The probability with which a request of a tenant with low local traffic is admitted without a reply of the
-// counter. The meter shows admitted requests only, so a tenant that is held to its quota reads 1: the more an
-// over-quota request costs, the earlier admissions fall. Without a meter they fall with the share of replies
-// that left no quota.
+// Returns the probability with which a request of a tenant with low local traffic is admitted without a
+// counter reply. The meter shows admitted requests only, so it reads 1 for any tenant that is limited to its
+// quota. The probability therefore starts to decrease at a utilization below 1; the more an over-quota
+// request costs, the lower this limit is. Without a meter, the probability decreases with the share of
+// replies that left no quota.
 double QuotaAdmission::unconfirmedProbability(const Tenant& tenant, const QuotaPlan& plan) const {
     const double loss = std::clamp(plan.overQuotaPenalty - plan.overQuotaWeight, 0.0, 1.0);
     if (settings_.usageMeterPeriod <= Duration{})
--- a/src/decision/quota/quota_admission.h
+++ b/src/decision/quota/quota_admission.h
@@ -1,8 +1,9 @@
-// Admits or rejects requests by the quota, the ceiling and the concurrency of their tenant's plan.
+// Admits or rejects requests according to the quota, the ceiling and the concurrency limit of their tenant's
+// plan.
 //
-// On the ordinary path, as in Šnuderl's thesis, a request's charge is added to its tenant's window on the
-// counter service, and the total that comes back decides. docs/design.md lists the exceptions and when each
-// acts.
+// By default a request's charge is added to its tenant's window on the counter service, and the request is
+// admitted if the reported total is within the quota, as in Šnuderl's "Rate limiting in API management".
+// docs/design.md lists the exceptions and their conditions.
 #pragma once
 
 #include <vector>
@@ -12,14 +13,14 @@
 
 namespace gateway {
 
-// Owns the share of rejecting replies by plan; all other state is in its collaborators.
+// Keeps the share of rejecting counter replies for each plan; its collaborators keep all other state.
 class QuotaAdmission {
 public:
-    // How a request that has just arrived proceeds.
+    // How a request proceeds after start().
     enum class Start {
-        rejected,   // the last known total has exhausted the quota
-        decideNow,  // without a reply of the counter
-        waiting,    // for a reply of the counter
+        rejected,   // the last known total leaves no quota for the request
+        decideNow,  // decide() is to be called without a counter reply
+        waiting,    // decide() is to be called when the counter replies or the wait times out
     };
 
     struct Decision {
@@ -27,7 +28,7 @@
         Duration retryAfter{};  // if rejected: time until the tenant has quota for the request
     };
 
-    // All arguments must outlive the admission.
+    // All arguments must outlive this object.
     QuotaAdmission(const Settings& settings, const UsageEstimator& usage, QuotaWindow& window,
                    CeilingBucket& ceiling, CounterSampler& sampler, TenantTable& tenants,
                    CounterLedger& ledger)
@@ -40,16 +41,16 @@
           ledger_(ledger),
           rejectedReplyShares_(settings.plans.size(), 0) {}
 
-    // Charges an arrived request, or rejects it if the last known total has exhausted its tenant's quota.
+    // Charges an arrived request, or rejects it if the last known total leaves no quota for it.
     // Precondition: its class and its plan are in the settings.
     Start start(EventContext& context, Request& request);
 
-    // Time until the tenant has quota for a request that start() rejected.
+    // Returns the time until the tenant has quota for a request that start() rejected.
     Duration retryAfter(const Request& request, TimePoint now) const;
 
-    // Decides on a request by the counter's reply; without one, by the last known totals and an estimate of
-    // what was admitted since. Records the charge of an admitted request and refunds that of a rejected one.
-    // `startedAt` is when this gateway started.
+    // Decides on a request by the counter's reply, or, without a reply, by the last known total and an
+    // estimate of the cost admitted since. Records an admitted request and refunds the charge of a rejected
+    // one. `startedAt` is when this gateway started.
     Decision decide(EventContext& context, Request& request, TimePoint startedAt);
 
 private:
@@ -71,7 +72,7 @@
     CounterSampler& sampler_;
     TenantTable& tenants_;
     CounterLedger& ledger_;
-    // By plan: moving share of the counter's replies that left no quota for their request.
+    // For each plan: moving average of the share of counter replies that left no quota for their request.
     std::vector<double> rejectedReplyShares_;
 };
 
