--- a/tests/decision/quota/ceiling_bucket_test.cpp
+++ b/tests/decision/quota/ceiling_bucket_test.cpp
@@ -1,4 +1,4 @@
-// Ceilings, which hold without replies of the counter, alone and observed through the engine.
+// Tests of CeilingBucket, alone and through the engine.
 #include "decision/quota/ceiling_bucket.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
 
 class CeilingBucketTest : public QuotaTest {
 protected:
-    // A ceiling of 10 per second with a burst of 20, without a counter and far below the quota.
+    // Sets a ceiling of 10 per second with a burst of 20 and disables the counter.
     void useCeilingWithoutCounter() {
         settings().counterEnabled = false;
         plan().ceilingRate = 10;
@@ -36,8 +36,8 @@
     EXPECT_EQ(gateway.sends.size(), 10u);  // half of the ceiling's burst: two gateways share it
 }
 
-// A tenant whose requests all arrive at one gateway gets its quota there from the first moment on: what the
-// counter confirms is within the quota, whatever the gateway's part of the ceiling.
+// A gateway that receives all requests of a tenant must not be limited to its share of the ceiling while the
+// counter confirms that the requests are within the quota.
 TEST_F(CeilingBucketTest, ConfirmedRequestsDrawNothingFromTheCeiling) {
     plan().rate = 20;
     plan().burst = 30;
@@ -54,7 +54,7 @@
         request(gateway, {.entryPoints = 4});
         gateway.failUnansweredAdds(Outcome::timedOut);
     }
-    // A quarter of the 20 that the ceiling allows beyond the burst.
+    // A quarter of the difference of 20 between the bursts of ceiling and quota.
     EXPECT_EQ(gateway.sends.size() - before, 5u);
 }
 
@@ -68,15 +68,15 @@
     EXPECT_EQ(gateway.sends.size(), 5u);  // a quarter of the ceiling's burst
     gateway.advance(milliseconds(1000));
     requestTimes(gateway, 20, {.entryPoints = 1});
-    EXPECT_EQ(gateway.sends.size(), 7u);  // a quarter of the rate until now
+    EXPECT_EQ(gateway.sends.size(), 7u);  // 2 more: a quarter of the rate over the last second
     gateway.advance(milliseconds(1000));
     requestTimes(gateway, 20, {.entryPoints = 1});
-    EXPECT_EQ(gateway.sends.size(), 17u);  // all of the rate from now on
+    EXPECT_EQ(gateway.sends.size(), 17u);  // 10 more: the whole rate over the last second
 }
 
 struct FailingCounterCase {
     const char* label;
-    int answeredGateways;  // the counter replies to these
+    int answeredGateways;  // number of gateways that the counter replies to
 
     friend std::ostream& operator<<(std::ostream& out, const FailingCounterCase& row) {
         return out << row.label;
@@ -87,9 +87,9 @@
     return info.param.label;
 }
 
-// Several gateways share a tenant's ceiling and a counter that replies to some of them only, is unavailable
-// at times and loses its counts at times. What they forward in all is compared with the ceiling's rate, burst
-// and slack.
+// Several gateways share a tenant's ceiling and a counter that replies only to some of them, is periodically
+// unavailable and periodically loses its counts. The cost that all of them forward is checked against the
+// ceiling's rate, burst and slack.
 class CeilingWithFailingCounterTest : public QuotaTest,
                                       public testing::WithParamInterface<FailingCounterCase> {
 protected:
@@ -126,8 +126,8 @@
     static constexpr int kOutagePeriodSteps = 700;
     static constexpr int kOutageStartStep = 600;
     static constexpr int kLossPeriodSteps = 500;
-    static constexpr int kDemandPeriodSteps = 1000;  // in the first half, demand is beyond the ceiling
-    static constexpr int kDemandEndStep = 500;
+    static constexpr int kDemandPeriodSteps = 1000;
+    static constexpr int kDemandEndStep = 500;  // in each period, demand exceeds the ceiling before this step
     static constexpr int kStepsPerRequest = 4;
     static constexpr int kCosts = 4;
 
@@ -155,7 +155,7 @@
 
     std::vector<EngineFixture> gateways_;
     std::map<std::string, double> counts_;  // of the counter that the gateways share
-    double remaining_ = 0;                  // of the ceiling's bucket, over all gateways
+    double remaining_ = 0;                  // tokens of the ceiling's bucket for all gateways together
     double minRemaining_ = 0;
     double forwardedCost_ = 0;
 };
@@ -171,7 +171,7 @@
                                          FailingCounterCase{"Two", 2}, FailingCounterCase{"All", 4}),
                          labelOf);
 
-// The bucket alone. The tenant's part of the ceiling fills by 5 per second up to 10.
+// Tests CeilingBucket alone. The gateway's share of the tenant's ceiling is 5 per second, with a burst of 10.
 class CeilingTokensTest : public testing::Test {
 protected:
     static constexpr TimePoint kStart{milliseconds(100'000)};
--- a/tests/decision/quota/counter_ledger_test.cpp
+++ b/tests/decision/quota/counter_ledger_test.cpp
@@ -1,4 +1,4 @@
-// Charges, refunds, reconciliations and lost counts, observed through the engine.
+// Tests of CounterLedger through the engine: charges, refunds, reconciliations and lost counts.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -30,11 +30,11 @@
     other.request();
     EXPECT_EQ(other.sends.size(), 0u);
     EXPECT_EQ(other.rejections.size(), 1u);
-    EXPECT_GE(other.counts.rbegin()->second, 30 - 2 * 4);  // the total less the slice's rate
+    EXPECT_GE(other.counts.rbegin()->second, 30 - 2 * 4);  // the total less the rate over the slice's 4 s
 }
 
-// In a large fleet, each gateway sees so little of a tenant that its estimate of remote usage can be many
-// times the actual one. Posted as debt, it would exhaust the tenant's quota at all gateways.
+// Each gateway of a large fleet sees so few requests of a tenant that it may overestimate remote usage many
+// times over. If it posted that estimate as debt, the tenant's quota would be exhausted at all gateways.
 TEST_F(CounterLedgerTest, PostsNoEstimatedRemoteUsageAsDebt) {
     settings().gatewayCount = kLargeFleet;
     settings().usageMeterPeriod = milliseconds(1000);
@@ -42,7 +42,7 @@
     gateway.isCounterAnswering = false;
     request(gateway, {.entryPoints = kLargeFleetEntryPoints});
     gateway.failUnansweredAdds(
-        Outcome::connectFailed);  // admitted on local knowledge, and pending for the counter
+        Outcome::connectFailed);  // the request is admitted without a reply and its cost is pending
     ASSERT_EQ(gateway.sends.size(), 1u);
     gateway.isCounterAnswering = true;
     gateway.advance(milliseconds(4000));
@@ -53,7 +53,7 @@
     EXPECT_LE(gateway.counterTotal(), 4);
 }
 
-// A tenant without a request in the previous slice has no known debt.
+// The tenants have no request in the previous slice, so no debt is known for it.
 TEST_F(CounterLedgerTest, ReadsNoClosedSliceWithoutKnownDebtFromACongestedCounter) {
     EngineFixture gateway = startGateway();
     gateway.isCounterAnswering = false;
@@ -86,7 +86,7 @@
     EXPECT_GE(minimum, -1e-6);
 }
 
-// A congested counter still works on calls that nobody waits for. Posting them again would exhaust the quota.
+// A congested counter still processes calls that have timed out. Posting them again would exhaust the quota.
 TEST_F(CounterLedgerTest, PostsChargesOfTimedOutCallsOnlyOnce) {
     plan().burst = 40;
     EngineFixture gateway = startGateway();
@@ -105,7 +105,7 @@
     EXPECT_LE(gateway.counterTotal(), 28 + 1e-6);
 }
 
-// A reported total includes no call that was made after the one that it replies to.
+// A reported total does not include calls that were made after the call that it replies to.
 TEST_F(CounterLedgerTest, AddsChargesOfCallsInFlightToTheReportedTotal) {
     EngineFixture gateway = startGateway();
     gateway.isCounterAnswering = false;
@@ -131,8 +131,8 @@
     EXPECT_DOUBLE_EQ(gateway.counterTotal(), 8);
 }
 
-// Reconciliations of other gateways lower a total too. Posting the difference again would exhaust the quota
-// of a tenant that has quota left. This holds for a congested counter as well.
+// Reconciliations by other gateways lower a total too. Posting the difference again would exhaust the quota
+// of a tenant that has quota left. One failed call makes the counter congested.
 TEST_F(CounterLedgerTest, DoesNotTakeRefundsOfOtherGatewaysForLostCounts) {
     settings().reconciliationEnabled = true;
     EngineFixture gateway = startGateway();
@@ -172,7 +172,7 @@
 TEST_F(ReconciliationTest, CarriesActualCostForwardAsDebtAndRefund) {
     EngineFixture gateway = startGateway();
     gateway.request();
-    gateway.endAttempt(gateway.sends[0], 0, Outcome::ok, true, 11);  // 3 beyond the burst: a debt of 1.5 s
+    gateway.endAttempt(gateway.sends[0], 0, Outcome::ok, true, 11);  // 3 beyond the burst: 1.5 s at the rate
     gateway.advance(milliseconds(1000));
     EXPECT_DOUBLE_EQ(gateway.counterTotal(), 11);
     gateway.request();
--- a/tests/decision/quota/counter_sampler_test.cpp
+++ b/tests/decision/quota/counter_sampler_test.cpp
@@ -1,4 +1,4 @@
-// Sampling of the calls to a counter, alone and observed through the engine.
+// Tests of CounterSampler, alone and through the engine.
 #include "decision/quota/counter_sampler.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 
 class CounterSamplerTest : public QuotaTest {
 protected:
-    // One request of each of `count` tenants. Calls to the counter fail for two of three tenants.
+    // Sends one request for each of `count` tenants. Calls to the counter fail for two of three tenants.
     static void requestWhileCallsFail(EngineFixture& gateway, int count, Outcome failure) {
         for (int i = 0; i < count; ++i) {
             const std::uint64_t tenant = kFirstOtherTenant + static_cast<std::uint64_t>(i);
@@ -37,7 +37,7 @@
     requestWhileCallsFail(gateway, 60, Outcome::rejected);
     EXPECT_LT(gateway.addCount, 60);
     EXPECT_GT(maxCount(gateway), 1.5);
-    EXPECT_LE(maxCount(gateway), 2);  // a higher weight could exhaust the window of a small tenant by chance
+    EXPECT_LE(maxCount(gateway), 2);  // a higher weight of one sampled request could exhaust a small quota
     EXPECT_EQ(gateway.sends.size(), 60u - gateway.rejections.size());
     gateway.isCounterAnswering = true;
     for (std::uint64_t tenant = 200; tenant < 600; ++tenant) request(gateway, {.tenant = tenant});
@@ -46,7 +46,7 @@
     EXPECT_GE(gateway.addCount - before, 90);  // the counter has recovered
 }
 
-// A malformed reply or a broken connection shows nothing of the counter's load.
+// A malformed reply or a broken connection says nothing about the counter's load.
 TEST_F(CounterSamplerTest, BrokenRepliesDoNotIndicateCongestion) {
     constexpr int kRequests = 60;
     constexpr int kAnswered = 40;
@@ -57,7 +57,7 @@
         request(gateway, {.tenant = tenant});
         gateway.failUnansweredAdds(Outcome::reset);
     }
-    // Every request calls the counter, and those that get a reply also read the closed slice.
+    // Every request posts its charge, and each one that gets a reply also reads the closed slice.
     EXPECT_EQ(gateway.addCount, kRequests + kAnswered);
 }
 
@@ -76,7 +76,7 @@
         gateway.isCounterAnswering = true;
         before = gateway.addCount;
         request(gateway, {.tenant = tenant});
-        singleCalls += std::min(1, gateway.addCount - before);  // without the read of the closed slice
+        singleCalls += std::min(1, gateway.addCount - before);  // does not count the read of the closed slice
         gateway.advance(milliseconds(50));
     }
     EXPECT_GT(frequentCalls, 3 * singleCalls / 2);
@@ -86,7 +86,7 @@
 TEST_F(CounterSamplerTest, SamplesTenantsWithLowLocalTrafficByTheMeter) {
     constexpr int kRequests = 120;
     constexpr int kWarmUpRequests = 20;
-    constexpr std::array<double, 2> kMeterPercents = {100, 5};  // of the two tenants
+    constexpr std::array<double, 2> kMeterPercents = {100, 5};  // one for each tenant
     settings().gatewayCount = kLargeFleet;
     settings().usageMeterPeriod = milliseconds(1000);
     plan().rate = 20;
@@ -96,7 +96,7 @@
     for (int i = 0; i < kRequests; ++i) {
         const auto which = static_cast<std::size_t>(i % 2);
         const bool isWarmUp = i < kWarmUpRequests;
-        gateway.isCounterAnswering = isWarmUp || i % 10 > 1;  // some calls time out: the counter is congested
+        gateway.isCounterAnswering = isWarmUp || i % 10 > 1;  // some calls time out, which causes congestion
         const int before = gateway.addCount;
         request(gateway, {.tenant = 5 + which, .entryPoints = kLargeFleetEntryPoints});
         if (!isWarmUp && gateway.addCount > before) ++sampledRequests[which];
@@ -107,7 +107,7 @@
     EXPECT_GT(sampledRequests[0], sampledRequests[1] + 10);
 }
 
-// The sampler alone.
+// Tests CounterSampler alone.
 class CounterSampleRateTest : public testing::Test {
 protected:
     static constexpr int kUnavailableAfter = 4;  // failures in a row
--- a/tests/decision/quota/quota_admission_test.cpp
+++ b/tests/decision/quota/quota_admission_test.cpp
@@ -1,4 +1,4 @@
-// Admission with and without replies of the counter, observed through the engine.
+// Tests of QuotaAdmission through the engine, with and without counter replies.
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -31,7 +31,7 @@
         gateway.advance(milliseconds(5));
         gateway.failUnansweredAdds(Outcome::connectFailed);
     }
-    // Four tenants with a burst of 8 each, of which this gateway admits a share.
+    // The four tenants have a burst of 8 each, and this gateway admits a share of it.
     EXPECT_GE(gateway.sends.size(), 8u);
     EXPECT_LE(gateway.sends.size(), 32u);
     EXPECT_LT(gateway.addCount, kRequests);
@@ -48,7 +48,7 @@
 
 TEST_F(QuotaAdmissionTest, RejectsBeyondItsShareOfAttemptsInFlight) {
     plan() = QuotaPlan{};
-    plan().concurrency = 4;  // over two gateways
+    plan().concurrency = 4;  // for two gateways together
     EngineFixture gateway = startGateway();
     requestTimes(gateway, 6);
     EXPECT_EQ(gateway.sends.size(), 2u);
@@ -72,7 +72,8 @@
 
 class RemoteUsageEstimateTest : public QuotaTest, public testing::WithParamInterface<OverQuotaCase> {};
 
-// Where an over-quota request earns more than it costs, no request is rejected for estimated remote usage.
+// If an over-quota request earns more than it costs, no request is rejected because of estimated remote
+// usage.
 TEST_P(RemoteUsageEstimateTest, RejectsOnlyWhereAnOverQuotaRequestCosts) {
     constexpr int kRequests = 7;
     plan().overQuotaWeight = GetParam().overQuotaWeight;
@@ -90,10 +91,11 @@
                                          OverQuotaCase{"EarnsMoreThanItCosts", 0.2, true}),
                          labelOf);
 
-// The share of admitted requests of a tenant whose requests are forwarded without a reply of the counter, in
-// a large fleet whose meter reports that the tenant uses all of its quota.
+// One gateway of a large fleet, without counter replies. The usage meter reports that the tenant uses all of
+// its quota.
 class MeteredAdmissionTest : public QuotaTest {
 protected:
+    // Returns the share of the tenant's requests that are admitted.
     double admittedShare(double overQuotaPenalty) {
         constexpr int kRequests = 400;
         settings().gatewayCount = kLargeFleet;
@@ -114,22 +116,21 @@
     }
 };
 
-// The meter of a tenant that is held to its quota reads 100% however high its demand is. Over a large fleet,
-// all that is admitted without a reply then exceeds the quota.
+// The meter of a tenant that is limited to its quota reads 100% however high the demand is. If every gateway
+// of a large fleet admitted all requests without a reply, they would exceed the quota.
 TEST_F(MeteredAdmissionTest, AdmitsFewerUnsampledRequestsWhereAnOverQuotaRequestCosts) {
     EXPECT_GT(admittedShare(0), 0.95);
     EXPECT_LT(admittedShare(1), 0.45);
     EXPECT_GT(admittedShare(1), 0.2);
 }
 
-// Replies of the counter for the tenants of one plan, and then requests of other tenants of that plan without
-// replies.
+// The counter replies to requests of some tenants of a plan, and then fails for other tenants of that plan.
 class UnmeteredAdmissionTest : public QuotaTest {
 protected:
     static constexpr double kTotalWithinQuota = 2;
     static constexpr double kTotalBeyondQuota = 100;
 
-    // The share of the requests without a reply that are admitted, after replies with that total.
+    // Returns the share of the requests without a reply that are admitted after replies with that total.
     double admittedShare(double total, double overQuotaPenalty) {
         settings().gatewayCount = kLargeFleet;
         plan().overQuotaPenalty = overQuotaPenalty;
@@ -152,7 +153,7 @@
     static constexpr int kAnsweredRequests = 200;
     static constexpr int kUnansweredRequests = 200;
 
-    // Each request has a tenant of its own.
+    // Sends a request of a new tenant, completes its calls to the counter and ends its attempt.
     template <class CompleteCalls>
     static void playRequest(EngineFixture& gateway, int number, CompleteCalls completeCalls) {
         const std::size_t before = gateway.sends.size();
@@ -164,8 +165,8 @@
     }
 };
 
-// Without a meter nothing shows the usage of a tenant with low local traffic. What is admitted of such
-// tenants exceeds quotas as often as the counter's replies leave no quota for other tenants of their plan.
+// Without a meter, the usage of a tenant with low local traffic is unknown. The probability that its request
+// exceeds the quota is estimated from the counter replies for other tenants of the plan.
 TEST_F(UnmeteredAdmissionTest, AdmitsUnsampledRequestsByTheRemainingQuotaOfOtherTenants) {
     EXPECT_GT(admittedShare(kTotalWithinQuota, 1), 0.95);
     EXPECT_GT(admittedShare(kTotalBeyondQuota, 0), 0.95);  // an over-quota request costs nothing
--- a/tests/decision/quota/quota_test.h
+++ b/tests/decision/quota/quota_test.h
@@ -12,14 +12,15 @@
 
 namespace gateway {
 
-// A request of a test. The plan of plainSettings() has a rate of 2 and a burst of 8, shared by two gateways.
+// Parameters of a test request. The plan of plainSettings() has a rate of 2 and a burst of 8, shared by two
+// gateways.
 struct RequestOptions {
     double cost = 1;
     std::uint64_t tenant = 5;
     int entryPoints = 2;
 };
 
-// A test changes settings() and then starts gateways with them.
+// Each test may change settings() before it starts gateways.
 class QuotaTest : public testing::Test {
 protected:
     static constexpr int kFewEndpoints = 4;
@@ -48,7 +49,7 @@
         gateway.endAttempt(send, 0, Outcome::ok, true);
     }
 
-    // Ends the gateway's latest attempt with a reading of the usage meter.
+    // Ends the gateway's latest attempt successfully, with a reading of the usage meter.
     static void endLatestWithMeter(EngineFixture& gateway, double percent) {
         AttemptEnded ended;
         ended.request = gateway.sends.back().request;
@@ -58,7 +59,7 @@
         gateway.handle(ended);
     }
 
-    // Answers the oldest unanswered call to the counter with a total.
+    // Replies to the oldest unanswered call to the counter with a total.
     static void answerOldestCall(EngineFixture& gateway, double total) {
         const AddToCounter add = gateway.unansweredAdds.front();
         gateway.unansweredAdds.erase(gateway.unansweredAdds.begin());
--- a/tests/decision/quota/quota_window_test.cpp
+++ b/tests/decision/quota/quota_window_test.cpp
@@ -1,4 +1,4 @@
-// The sliding window, alone and observed through the engine.
+// Tests of QuotaWindow, alone and through the engine.
 #include "decision/quota/quota_window.h"
 
 #include <gtest/gtest.h>
@@ -20,8 +20,7 @@
     gateway.request();
     EXPECT_GE(gateway.unansweredAdds.size(), 1u);
     EXPECT_TRUE(gateway.sends.empty());
-    while (
-        !gateway.unansweredAdds.empty())  // the call opens its slice, so a read of the closed slice follows
+    while (!gateway.unansweredAdds.empty())  // the first call opens its slice, so it is followed by a read
         for (const AddToCounter& add : std::exchange(gateway.unansweredAdds, {}))
             gateway.handle(CounterReplied{add.name, Outcome::ok, add.amount, {}});
     EXPECT_EQ(gateway.sends.size(), 1u);
@@ -62,10 +61,10 @@
     EXPECT_NEAR(static_cast<double>(gateway.sends.size()), kBurst + kSeconds * kRate, 1);
     EXPECT_GE(gateway.addCount, static_cast<int>(gateway.sends.size()));
     for (const auto& [name, sum] : gateway.counts)
-        EXPECT_LE(sum, kBurst + kSliceSeconds * kRate);  // one slice, including the debt carried into it
+        EXPECT_LE(sum, kBurst + kSliceSeconds * kRate);  // includes the debt carried into the slice
 }
 
-// The slices of plans differ in length, so the index of a slice has no meaning under another plan.
+// The slices of different plans differ in length, so the index of a slice has no meaning under another plan.
 TEST_F(QuotaWindowTest, AppliesTheQuotaOfTheNewPlanWhenATenantChangesPlan) {
     settings().plans.push_back(plan());
     settings().plans[1].rate = 0.5;  // slices of 16 s
@@ -87,13 +86,13 @@
     EngineFixture gateway = startGateway();
     gateway.request();
     for (auto& [name, value] : gateway.counts)
-        if (value > 0) value += 6;  // rejected requests of another gateway, not yet refunded
+        if (value > 0) value += 6;  // charges of another gateway's rejected requests, not yet refunded
     gateway.request();
     for (auto& [name, value] : gateway.counts)
         if (value > 0) value -= 6;
     gateway.advance(milliseconds(2100));
     requestTimes(gateway, 10);
-    EXPECT_EQ(gateway.sends.size(), 10u);  // 2 earlier ones, and the burst of 8
+    EXPECT_EQ(gateway.sends.size(), 10u);  // the 2 requests before, and the burst of 8
 }
 
 TEST_F(QuotaWindowTest, AdmitsAgainWhenTheExhaustedSlicesHaveLeftTheWindow) {
@@ -106,7 +105,7 @@
     EXPECT_EQ(gateway.sends.size(), 9u);
 }
 
-// The window alone, on one tenant with an empty total reported for its current slice.
+// Tests QuotaWindow alone, with one tenant whose current slice has a reported total of 0.
 class QuotaWindowQueryTest : public testing::Test {
 protected:
     static constexpr TimePoint kNow{milliseconds(100'000)};
--- a/tests/decision/quota/tenant_table_test.cpp
+++ b/tests/decision/quota/tenant_table_test.cpp
@@ -13,7 +13,7 @@
 constexpr TenantId kOtherTenant{6};
 constexpr TimePoint kNow{seconds(1000)};
 constexpr Duration kIdleTime = 2 * kMaxCounterNameLifetime + seconds(1);
-constexpr int kManyRequests = 6000;  // enough for a sweep of the table
+constexpr int kManyRequests = 6000;  // enough to trigger a sweep of the table
 
 class TenantTableTest : public testing::Test {
 protected:
--- a/tests/decision/quota/window_slice_test.cpp
+++ b/tests/decision/quota/window_slice_test.cpp
@@ -1,4 +1,4 @@
-// The bookkeeping of one window slice, alone.
+// Tests of WindowSlice.
 #include "decision/quota/window_slice.h"
 
 #include <gtest/gtest.h>
@@ -32,17 +32,17 @@
 
 class WindowSliceTest : public testing::Test {
 protected:
-    // All that this gateway accounts for: pending, in flight or on the counter.
+    // All cost of this gateway that is pending, in flight or on the counter.
     double balance() const { return slice.posted() + slice.pendingCharge() - slice.pendingRefund(); }
 
-    // The invariants of the header, except for the calls in flight.
+    // Checks the invariants of WindowSlice, except for the calls in flight.
     void expectInvariants() const {
         EXPECT_DOUBLE_EQ(slice.refunds(), slice.pendingRefund() + slice.postedRefund());
         EXPECT_EQ(slice.hasPending(), slice.pendingCharge() != 0 || slice.pendingRefund() != 0);
     }
 
-    // Makes cost pending: charges by a request that was admitted without a call, refunds by one that reached
-    // no endpoint.
+    // Adds cost to the pending charge by a request that was admitted without a call, and to the pending
+    // refund by a request that reached no endpoint.
     void addPendingCharge(double cost) { slice.recordAdmitted(RequestKey::none, confirmedUnposted(), cost); }
     void addPendingRefund(double cost) { slice.refundAdmitted(unpostedCharge(cost), cost); }
 
