--- a/src/decision/quota/ceiling_bucket.cpp
+++ b/src/decision/quota/ceiling_bucket.cpp
@@ -9,31 +9,32 @@
 namespace {
 
 // The longest time that a first refill covers. TenantTable evicts a tenant after this idle time.
-constexpr Duration kMaxFirstFill = 2 * kMaxCounterNameLifetime;
+constexpr Duration kMaxFirstRefillPeriod = 2 * kMaxCounterNameLifetime;
 
 }  // namespace
 
-bool CeilingBucket::tryDraw(Tenant& tenant, const QuotaPlan& plan, double cost, TimePoint now,
-                            TimePoint startedAt) {
-    fill(tenant, plan, now, startedAt);
-    CeilingTokens& bucket = tenant.ceiling;
-    if (bucket.tokens < cost) return false;
-    bucket.tokens -= cost;
+bool CeilingBucket::tryConsume(Tenant& tenant, const QuotaPlan& plan, double cost, TimePoint now,
+                               TimePoint startedAt) {
+    refill(tenant, plan, now, startedAt);
+    CeilingTokens& ceiling = tenant.ceiling;
+    if (ceiling.tokens < cost) return false;
+    ceiling.tokens -= cost;
     return true;
 }
 
-void CeilingBucket::fill(Tenant& tenant, const QuotaPlan& plan, TimePoint now, TimePoint startedAt) {
-    CeilingTokens& bucket = tenant.ceiling;
-    const bool isFirstFill = bucket.filledAt == TimePoint{};
-    const TimePoint since = isFirstFill ? std::max(startedAt, now - kMaxFirstFill) : bucket.filledAt;
+void CeilingBucket::refill(Tenant& tenant, const QuotaPlan& plan, TimePoint now, TimePoint startedAt) {
+    CeilingTokens& ceiling = tenant.ceiling;
+    const bool isFirstRefill = ceiling.refilledAt == TimePoint{};
+    const TimePoint since =
+        isFirstRefill ? std::max(startedAt, now - kMaxFirstRefillPeriod) : ceiling.refilledAt;
     const double share = 1.0 / tenant.entryPoints;
     const double rate = plan.ceilingRate - (settings_.counterEnabled ? plan.rate : 0);
     // If the number of entry points has changed, the smaller share applies to the time since the last refill:
     // the other gateways may have consumed the difference.
-    const double filled = toSeconds(now - since) * std::max(0.0, rate) * std::min(share, bucket.share);
-    bucket.tokens = std::min(capacity(tenant, plan), bucket.tokens + filled);
-    bucket.share = share;
-    bucket.filledAt = now;
+    const double added = toSeconds(now - since) * std::max(0.0, rate) * std::min(share, ceiling.share);
+    ceiling.tokens = std::min(capacity(tenant, plan), ceiling.tokens + added);
+    ceiling.share = share;
+    ceiling.refilledAt = now;
 }
 
 void CeilingBucket::refundConfirmed(Tenant& tenant, const QuotaPlan& plan, double cost) {
--- a/src/decision/quota/ceiling_bucket.h
+++ b/src/decision/quota/ceiling_bucket.h
@@ -22,7 +22,7 @@
     // Refills the tenant's bucket up to `now` and consumes `cost` tokens. Returns false, and consumes
     // nothing, if the bucket has fewer tokens. `startedAt` is when this gateway started: the bucket is empty
     // at that time, because the process before a restart may have consumed all tokens.
-    bool tryDraw(Tenant& tenant, const QuotaPlan& plan, double cost, TimePoint now, TimePoint startedAt);
+    bool tryConsume(Tenant& tenant, const QuotaPlan& plan, double cost, TimePoint now, TimePoint startedAt);
 
     // Refunds the cost of requests that a counter reply has shown to be within the quota.
     void refundConfirmed(Tenant& tenant, const QuotaPlan& plan, double cost);
@@ -32,7 +32,7 @@
 
 private:
     double capacity(const Tenant& tenant, const QuotaPlan& plan) const;
-    void fill(Tenant& tenant, const QuotaPlan& plan, TimePoint now, TimePoint startedAt);
+    void refill(Tenant& tenant, const QuotaPlan& plan, TimePoint now, TimePoint startedAt);
 
     const Settings& settings_;
 };
--- a/src/decision/quota/counter_ledger.cpp
+++ b/src/decision/quota/counter_ledger.cpp
@@ -156,7 +156,7 @@
         if (!charge.confirmed) slice->addUnconfirmed(unconfirmedCost(*tenant, -cost));
         scheduleFlush(context, *tenant, *slice);
     }
-    if (charge.drawnFromCeiling) CeilingBucket::refundUnsent(*tenant, cost);
+    if (charge.consumedCeilingTokens) CeilingBucket::refundUnsent(*tenant, cost);
 }
 
 void CounterLedger::reconcile(EventContext& context, Tenant& tenant, const Request& request,
--- a/src/decision/quota/quota_admission.cpp
+++ b/src/decision/quota/quota_admission.cpp
@@ -139,8 +139,9 @@
     if (plan.concurrency > 0 && !fitsConcurrency(tenant, plan)) return false;
     const bool isUnconfirmed = !charge.confirmed || slice == nullptr;
     if (!isUnconfirmed || plan.ceilingRate <= 0) return true;
-    charge.drawnFromCeiling = ceiling_.tryDraw(tenant, plan, request.arrival.cost, context.now, startedAt);
-    return charge.drawnFromCeiling;
+    charge.consumedCeilingTokens =
+        ceiling_.tryConsume(tenant, plan, request.arrival.cost, context.now, startedAt);
+    return charge.consumedCeilingTokens;
 }
 
 bool QuotaAdmission::decideByWindow(Tenant& tenant, const Request& request, WindowSlice& slice,
--- a/src/decision/quota/quota_charge.h
+++ b/src/decision/quota/quota_charge.h
@@ -8,13 +8,13 @@
 // Kept with the request while it is in flight. QuotaAdmission and CounterLedger update it; RequestLifecycle
 // decrements `pendingReplies`.
 struct QuotaCharge {
-    SliceIndex sliceIndex{};        // the slice that is charged
-    double amount = 0;              // cost to post: the request's cost times its sample weight
-    bool posted = false;            // the counter includes the charge, or is assumed to
-    bool confirmed = false;         // the counter replied with a total that includes the charge
-    bool coveredBySamples = false;  // not sampled: the sample weights of other requests cover its cost
-    bool drawnFromCeiling = false;  // consumed tokens of the tenant's CeilingTokens
-    int pendingReplies = 0;         // counter replies that the admission decision still waits for
+    SliceIndex sliceIndex{};             // the slice that is charged
+    double amount = 0;                   // cost to post: the request's cost times its sample weight
+    bool posted = false;                 // the counter includes the charge, or is assumed to
+    bool confirmed = false;              // the counter replied with a total that includes the charge
+    bool coveredBySamples = false;       // not sampled: the sample weights of other requests cover its cost
+    bool consumedCeilingTokens = false;  // refunded if the request reaches no endpoint
+    int pendingReplies = 0;              // counter replies that the admission decision still waits for
 };
 
 }  // namespace gateway
--- a/src/decision/quota/tenant.h
+++ b/src/decision/quota/tenant.h
@@ -14,8 +14,8 @@
 // CeilingBucket updates it.
 struct CeilingTokens {
     double tokens = 0;
-    double share = 1;      // this gateway's share of the ceiling at the last refill
-    TimePoint filledAt{};  // time of the last refill; the epoch before the first
+    double share = 1;        // this gateway's share of the ceiling at the last refill
+    TimePoint refilledAt{};  // time of the last refill; the epoch before the first
 };
 
 // Holds data only; the other classes of the quota module update it.
--- a/tests/decision/quota/ceiling_bucket_test.cpp
+++ b/tests/decision/quota/ceiling_bucket_test.cpp
@@ -38,7 +38,7 @@
 
 // A gateway that receives all requests of a tenant must not be limited to its share of the ceiling while the
 // counter confirms that the requests are within the quota.
-TEST_F(CeilingBucketTest, ConfirmedRequestsDrawNothingFromTheCeiling) {
+TEST_F(CeilingBucketTest, ConfirmedRequestsConsumeNoCeilingTokens) {
     plan().rate = 20;
     plan().burst = 30;
     plan().ceilingRate = 35;
@@ -58,7 +58,7 @@
     EXPECT_EQ(gateway.sends.size() - before, 5u);
 }
 
-TEST_F(CeilingBucketTest, FillsAtTheSmallerShareWhenEntryPointsDecrease) {
+TEST_F(CeilingBucketTest, RefillsAtTheSmallerShareWhenEntryPointsDecrease) {
     useCeilingWithoutCounter();
     plan().rate = 4000;
     plan().burst = 4000;
@@ -183,8 +183,8 @@
         tenant.entryPoints = 2;
     }
 
-    bool tryDraw(double cost, Duration sinceStart) {
-        return bucket.tryDraw(tenant, plan, cost, kStart + sinceStart, kStart);
+    bool tryConsume(double cost, Duration sinceStart) {
+        return bucket.tryConsume(tenant, plan, cost, kStart + sinceStart, kStart);
     }
 
     Settings settings;
@@ -193,20 +193,20 @@
     CeilingBucket bucket{settings};
 };
 
-TEST_F(CeilingTokensTest, DrawsNothingWithTooFewTokens) {
-    EXPECT_FALSE(tryDraw(6, milliseconds(1000)));
+TEST_F(CeilingTokensTest, ConsumesNothingWithTooFewTokens) {
+    EXPECT_FALSE(tryConsume(6, milliseconds(1000)));
     EXPECT_DOUBLE_EQ(tenant.ceiling.tokens, 5);
-    EXPECT_TRUE(tryDraw(5, milliseconds(1000)));
+    EXPECT_TRUE(tryConsume(5, milliseconds(1000)));
     EXPECT_DOUBLE_EQ(tenant.ceiling.tokens, 0);
 }
 
-TEST_F(CeilingTokensTest, FillsUpToItsCapacity) {
-    EXPECT_TRUE(tryDraw(0, milliseconds(60'000)));
+TEST_F(CeilingTokensTest, RefillsUpToItsCapacity) {
+    EXPECT_TRUE(tryConsume(0, milliseconds(60'000)));
     EXPECT_DOUBLE_EQ(tenant.ceiling.tokens, 10);
 }
 
 TEST_F(CeilingTokensTest, RefundsConfirmedCostUpToItsCapacity) {
-    EXPECT_TRUE(tryDraw(4, milliseconds(60'000)));
+    EXPECT_TRUE(tryConsume(4, milliseconds(60'000)));
     bucket.refundConfirmed(tenant, plan, 3);
     EXPECT_DOUBLE_EQ(tenant.ceiling.tokens, 9);
     bucket.refundConfirmed(tenant, plan, 3);
@@ -214,7 +214,7 @@
 }
 
 TEST_F(CeilingTokensTest, RefundsTheCostOfAnUnsentRequest) {
-    EXPECT_TRUE(tryDraw(4, milliseconds(60'000)));
+    EXPECT_TRUE(tryConsume(4, milliseconds(60'000)));
     CeilingBucket::refundUnsent(tenant, 4);
     EXPECT_DOUBLE_EQ(tenant.ceiling.tokens, 10);
 }
