--- a/src/decision/quota/counter_ledger.cpp
+++ b/src/decision/quota/counter_ledger.cpp
@@ -188,12 +188,12 @@
     slice->setFlushScheduled(false);
     // While the counter is unavailable, the amounts stay pending until the next call for the slice.
     if (!slice->hasPending() || sampler_.isUnavailable()) return;
-    if (mustSampleReconciliations(*tenant, *slice)) {
+    if (shouldSampleReconciliations(*tenant, *slice)) {
         const bool sampled = samplePendingCharge(context, *slice);
         if (!sampled) return;
     }
-    const bool postsNow = sampler_.drawPostponableCall(context.random);
-    if (postsNow)
+    const bool shouldPost = sampler_.shouldCallNow(context.random);
+    if (shouldPost)
         post(context, *tenant, *slice, slice->beginFlushCall());
     else
         scheduleFlush(context, *tenant, *slice);
@@ -201,7 +201,7 @@
 
 // With low local traffic, often no further call carries a reconciliation, so that each needs a call of its
 // own. During congestion that is too many calls.
-bool CounterLedger::mustSampleReconciliations(const Tenant& tenant, const WindowSlice& slice) const {
+bool CounterLedger::shouldSampleReconciliations(const Tenant& tenant, const WindowSlice& slice) const {
     return sampler_.isCongested() && slice.pendingRefund() == 0 && usage_.reliesOnMeter(tenant);
 }
 
--- a/src/decision/quota/counter_sampler.cpp
+++ b/src/decision/quota/counter_sampler.cpp
@@ -74,7 +74,7 @@
     return std::pow(sampleRate_, std::clamp(exponent, kMinProbabilityExponent, kMaxProbabilityExponent));
 }
 
-bool CounterSampler::drawPostponableCall(RandomSource& random) const {
+bool CounterSampler::shouldCallNow(RandomSource& random) const {
     if (!isCongested()) return true;
     return random.next() < sampleRate_;
 }
--- a/src/decision/quota/counter_sampler.h
+++ b/src/decision/quota/counter_sampler.h
@@ -36,7 +36,7 @@
 
     // Returns whether to make a postponable call now. During congestion this is random; otherwise it is true
     // and no random number is drawn.
-    bool drawPostponableCall(RandomSource& random) const;
+    bool shouldCallNow(RandomSource& random) const;
 
     // Returns the probability with which a reconciliation that no other call would carry is posted to a
     // congested counter.
--- a/src/decision/quota/quota_admission.cpp
+++ b/src/decision/quota/quota_admission.cpp
@@ -48,7 +48,7 @@
             return Start::rejected;
     }
     if (!settings_.counterEnabled) return Start::decideNow;
-    const bool sampled = drawSample(context, tenant, current, request);
+    const bool sampled = sampleRequest(context, tenant, current, request);
     if (!sampled) return Start::decideNow;
     ledger_.postCharge(context, tenant, current, request);
     // Calls to an unavailable counter only detect its recovery; no request waits for their replies.
@@ -58,8 +58,8 @@
 // Decides whether the request calls the counter and sets its charge accordingly. During congestion only a
 // sample of the requests does. If the tenant has made a call in this slice, its next call carries the cost of
 // unsampled requests. Otherwise the sample weight of the sampled requests covers the unsampled ones.
-bool QuotaAdmission::drawSample(EventContext& context, Tenant& tenant, const WindowSlice& current,
-                                Request& request) {
+bool QuotaAdmission::sampleRequest(EventContext& context, Tenant& tenant, const WindowSlice& current,
+                                   Request& request) {
     const double cost = request.arrival.cost;
     const bool isWeighted = !current.hasChargeCalls() && !sampler_.isUnavailable();
     tenant.usage.recordDemand(cost, usage_.planOf(tenant), context.now);
--- a/src/decision/quota/quota_admission.h
+++ b/src/decision/quota/quota_admission.h
@@ -54,7 +54,7 @@
     Decision decide(EventContext& context, Request& request, TimePoint startedAt);
 
 private:
-    bool drawSample(EventContext& context, Tenant& tenant, const WindowSlice& current, Request& request);
+    bool sampleRequest(EventContext& context, Tenant& tenant, const WindowSlice& current, Request& request);
     WindowSlice* advanceToChargedSlice(Tenant& tenant, const Request& request, TimePoint now);
     bool decideAdmission(EventContext& context, Tenant& tenant, Request& request, WindowSlice* slice,
                          TimePoint startedAt);
--- a/tests/decision/quota/counter_sampler_test.cpp
+++ b/tests/decision/quota/counter_sampler_test.cpp
@@ -130,7 +130,7 @@
     sampler.recordReplyValue(1);
     EXPECT_FALSE(sampler.isCongested());
     EXPECT_EQ(sampler.sampleProbability(1), 1);
-    EXPECT_TRUE(sampler.drawPostponableCall(random));
+    EXPECT_TRUE(sampler.shouldCallNow(random));
     EXPECT_EQ(random.next(), untouched.next());  // nothing was drawn
 }
 
