--- a/src/settings/input_error.h
+++ b/src/settings/input_error.h
@@ -1,8 +1,8 @@
-// Errors in input from outside the program: where they are, and what is wrong.
+// Exceptions for invalid input from outside the process.
 //
-// Input that is read rarely (configuration, settings, endpoint lists, the simulator's lines) throws the error
-// type of its boundary. Input that comes with every request is reported by a result. See
-// docs/architecture.md.
+// Readers of rare input (configuration, settings, endpoint lists, the simulator's messages) throw the error
+// type of the input's source. Readers of client requests and of responses report invalid input by their
+// return value. See docs/architecture.md.
 #pragma once
 
 #include <stdexcept>
@@ -11,7 +11,7 @@
 
 namespace gateway {
 
-// Input that can't be used. what() is one line, "place: reason".
+// The base of the errors below. what() is one line, "place: reason".
 class InputError : public std::runtime_error {
 public:
     InputError(std::string place, std::string reason)
@@ -27,27 +27,28 @@
     std::string reason_;
 };
 
-// A missing or invalid field of a JSON document. readInput() turns it into the error type of a boundary.
+// A missing or invalid field of a JSON document. readInput() converts it to the error type of the document's
+// source.
 class FieldError final : public InputError {
     using InputError::InputError;
 };
 
-// The file that EDGE_CONFIG names, or the environment.
+// An invalid configuration file, or an invalid environment variable.
 class ConfigError final : public InputError {
     using InputError::InputError;
 };
 
-// A document from discovery.
+// An invalid document from discovery.
 class EndpointListError final : public InputError {
     using InputError::InputError;
 };
 
-// A line from the simulator.
+// An invalid line from the simulator.
 class WireError final : public InputError {
     using InputError::InputError;
 };
 
-// Calls `read` and returns its result. Throws a FieldError of `read` on as `Error`.
+// Calls `read` and returns its result. If `read` throws a FieldError, throws it as an `Error` instead.
 template <class Error, class Read>
 auto readInput(Read&& read) {
     try {
--- a/src/settings/json_fields.cpp
+++ b/src/settings/json_fields.cpp
@@ -98,7 +98,7 @@
     return TimePoint(seconds(key, defaultSeconds));
 }
 
-// ---- Flags and texts ------------------------------------------------------------------------------
+// ---- Booleans and strings -------------------------------------------------------------------------
 
 bool Fields::flag(const char* key) const {
     const Json* const value = find(key);
@@ -117,7 +117,7 @@
     return has(key) ? text(key) : defaultValue;
 }
 
-// ---- Objects and lists ----------------------------------------------------------------------------
+// ---- Objects and arrays ---------------------------------------------------------------------------
 
 Fields Fields::object(const char* key) const {
     return Fields(need(key), path_ + "." + key);
--- a/src/settings/json_fields.h
+++ b/src/settings/json_fields.h
@@ -18,19 +18,22 @@
 // Parses a JSON document. Throws FieldError for `place` if the text is not JSON.
 Json parseJson(std::string_view text, const std::string& place);
 
-// One of the words that a field may hold, and the value that it denotes.
+// One of the strings that a field may hold, and the value that it stands for.
 template <class Value>
 struct Choice {
     const char* word;
     Value value;
 };
 
-// A JSON object and the path that leads to it, which errors name. Does not own the object, which must outlive
-// it. A field that is null counts as missing. All functions throw FieldError if the field is of another type,
-// and the functions without a default value also if it is missing.
+// Reads the fields of a JSON object. Does not own the object, which must outlive this reader.
+//
+// A field that is null counts as missing. The functions throw FieldError, with the path of the field, if the
+// field has the wrong type. The functions without a default value throw it also if the field is missing,
+// unless their comment says otherwise.
 class Fields {
 public:
-    // Throws FieldError if `object` is not a JSON object.
+    // `path` leads to the object in its document, for example "config.settings". Throws FieldError if
+    // `object` is not a JSON object.
     Fields(const Json& object, std::string path);
 
     // Throws FieldError for a field of this object, or for the object itself if `key` is empty.
@@ -39,6 +42,8 @@
     // Returns null if the field is missing.
     const Json* find(const char* key) const;
     bool has(const char* key) const { return find(key) != nullptr; }
+
+    // Returns the field, of any type. Throws FieldError if it is missing.
     const Json& need(const char* key) const;
 
     double number(const char* key) const;
@@ -58,20 +63,20 @@
     Duration seconds(const char* key) const;
     Duration seconds(const char* key, double defaultSeconds) const;
 
-    // Reads a number of seconds since the epoch of the fleet's clock.
+    // Reads a number of seconds since the epoch of FleetClock.
     TimePoint timePoint(const char* key) const;
     TimePoint timePoint(const char* key, double defaultSeconds) const;
 
     Fields object(const char* key) const;
 
-    // Calls `visit` with the Fields of each object in a list.
+    // Calls `visit` with the Fields of each object in an array.
     template <class Visit>
     void each(const char* key, Visit&& visit) const {
         const Json& list = needList(key);
         for (std::size_t i = 0; i < list.size(); ++i) visit(Fields(list[i], itemPath(key, i)));
     }
 
-    // Reads one of a few words.
+    // Reads a string that must be one of `choices`, and returns the value that it stands for.
     template <class Value>
     Value choice(const char* key, std::initializer_list<Choice<Value>> choices) const {
         const std::string& word = text(key);
--- a/src/settings/settings_json.cpp
+++ b/src/settings/settings_json.cpp
@@ -37,7 +37,7 @@
     return plan;
 }
 
-// Reads what the gateway is allowed to do.
+// Reads which features the gateway may use, and their limits.
 void readAllowed(const Fields& allowed, Settings& settings) {
     settings.cancellationAllowed = allowed.flag("cancel");
     settings.healthChecksAllowed = allowed.flag("probes");
@@ -48,7 +48,7 @@
     settings.connectTimeout = allowed.seconds("dialTimeoutS", 0);
 }
 
-// Reads the settings of the counter service and of how costs and usage are reported.
+// Reads the settings of the counter service and of the cost and usage reports in responses.
 void readDomain(const Fields& domain, Settings& settings) {
     settings.counterEnabled = domain.flag("mayCount");
     settings.counterTimeout = domain.seconds("counterTimeoutS", 0);
@@ -57,7 +57,7 @@
     settings.usageMeterPeriod = domain.seconds("meteringS", 0);
 }
 
-// Reads time limits and the rules for starting and draining endpoints.
+// Reads time limits and the parameters of slow start, overload and draining of endpoints.
 void readRules(const Fields& rules, Settings& settings) {
     settings.responseSlack = rules.seconds("answerSlackS", 0);
     settings.drainGracePeriod = rules.seconds("drainGraceS", 0);
--- a/src/settings/settings_json.h
+++ b/src/settings/settings_json.h
@@ -1,5 +1,5 @@
-// Reads a gateway's settings, as the simulator's first message and EDGE_CONFIG contain them. This is the only
-// place that knows the names of their fields.
+// Reads a gateway's settings from JSON. The simulator's enlist message and the configuration file contain
+// them in the same form.
 #pragma once
 
 #include "gateway/settings.h"
@@ -7,8 +7,7 @@
 
 namespace gateway {
 
-// Translates the settings. Throws FieldError, with the place, if a field is missing or malformed or if
-// validate() finds a problem.
+// Throws FieldError if a field is missing or malformed, or if validate() finds a problem.
 Settings readSettings(const Fields& fields);
 
 }  // namespace gateway
--- a/src/settings/settings_validation.cpp
+++ b/src/settings/settings_validation.cpp
@@ -1,4 +1,4 @@
-// Checks that the values of settings are in range and consistent.
+// Implements validate(): checks that the values of the settings are in range and consistent.
 #include <string>
 #include <string_view>
 #include <utility>
@@ -10,7 +10,7 @@
 
 constexpr std::string_view kNegative = "must not be negative";
 
-// Keeps the first problem that a check finds.
+// Runs checks and keeps the first problem that one of them finds.
 class Checker {
 public:
     void require(bool holds, std::string_view field, std::string_view reason) {
@@ -25,7 +25,7 @@
         require(value > Duration::zero(), field, "must be above 0");
     }
 
-    // The checks that follow are of one entry of a list.
+    // Selects an entry of a list: the fields of the checks that follow are fields of that entry.
     void enterItem(const std::string& list, std::size_t index) {
         prefix_ = list + "[" + std::to_string(index) + "].";
     }
