--- a/src/net/config/config.cpp
+++ b/src/net/config/config.cpp
@@ -36,7 +36,7 @@
     return seed;
 }
 
-// Replaces the value by that of the environment variable, unless the variable is unset or empty.
+// Replaces `value` with the value of the environment variable, unless the variable is unset or empty.
 void overrideByEnvironment(const char* variable, std::string& value) {
     const char* const text = std::getenv(variable);
     if (text != nullptr && *text != '\0') value = text;
--- a/src/net/config/config.h
+++ b/src/net/config/config.h
@@ -14,7 +14,7 @@
 
 namespace gateway::net {
 
-// Time limits of the process. The file does not set them; tests use other values than the defaults.
+// Time limits of the process. They can't be set in the configuration file; tests replace the defaults.
 struct Timing {
     static constexpr Duration kListenAfterShutdown = std::chrono::milliseconds(500);
     static constexpr Duration kIdleGracePeriod = std::chrono::milliseconds(250);
@@ -23,21 +23,21 @@
     static constexpr Duration kReuseDelay = std::chrono::milliseconds(10);
     static constexpr Duration kMaxPartialTime = std::chrono::seconds(2);
 
-    // From SIGTERM until the listener closes. Clients keep connecting until they notice the shutdown.
+    // Time from SIGTERM until the listener closes. New clients connect until they notice the shutdown.
     Duration listenAfterShutdown = kListenAfterShutdown;
-    // From SIGTERM until connections without a request are closed.
+    // Time from SIGTERM until client connections without a request are closed.
     Duration idleGracePeriod = kIdleGracePeriod;
-    // With DiscoveryMode::push: how long a new process waits for the list of its agent, which counts as
-    // known, before it is ready with the list of its configuration. The agent sends nothing while discovery
+    // With DiscoveryMode::push: how long a new process waits for the discovery agent's first list before it
+    // reports that it is ready, with the list of its configuration. The agent sends nothing while discovery
     // is down.
     Duration initialUpdateWait = kInitialUpdateWait;
-    // How long a process with an empty list waits for another before it is ready: a process that is never
-    // ready counts as failed.
+    // How long a new process with an empty endpoint list waits for another list before it reports that it is
+    // ready. The wait is limited because a process that never becomes ready counts as failed.
     Duration emptyListWait = kEmptyListWait;
-    // Cool-down of a connection to an endpoint between a response and the next request: a second response
-    // that comes late would be taken for that request's.
+    // How long a connection to an endpoint stays unused after a response. A surplus response that arrives in
+    // this time is detected instead of being taken for the response to the next request.
     Duration reuseDelay = kReuseDelay;
-    // For a client to start the first request on a connection, and to send a request completely.
+    // Time for a client to start the first request on a connection, and to send a request completely.
     Duration maxPartialTime = kMaxPartialTime;
 };
 
@@ -48,26 +48,27 @@
     Address listen;
     Address discovery;
     std::optional<Address> counter;  // set if Settings::counterEnabled
-    std::uint64_t seed = 0;          // of random numbers
-    std::size_t sockets = 1024;      // descriptors that the process may hold
+    std::uint64_t seed = 0;          // of the random number generators
+    std::size_t sockets = 1024;      // file descriptors that the process may hold
     Settings settings;
     std::vector<std::string> classNames;  // in the order of Settings::classes
     std::vector<std::string> planNames;   // in the order of Settings::plans
-    Duration keepAlive{};                 // after which an endpoint closes an idle connection
+    Duration keepAlive{};                 // an endpoint closes a connection that is idle for this long
     EndpointVocabulary vocabulary;
-    EndpointList known;  // the endpoints as this gateway last knew them; may be outdated
+    EndpointList known;  // the endpoint list to start with; may be outdated
     Timing timing;
 };
 
-// Why the configuration is read. EDGE_DISCOVERY overrides the file at the start only: a file that has
-// replaced the first one is newer than the environment.
+// Why the configuration is read. EDGE_DISCOVERY overrides the key "discovery" of the file only in the initial
+// load: on a reload, the file is newer than the environment.
 enum class ConfigLoad { initial, reload };
 
-// Reads a configuration from the text of the file and the environment. Throws ConfigError, one line that
-// names what is wrong.
+// Reads a configuration from the text of the file and from the environment variables that override it. Throws
+// ConfigError.
 Config readConfig(const std::string& text, ConfigLoad load = ConfigLoad::initial);
 
-// Reads the file that EDGE_CONFIG names, and the environment. Throws ConfigError.
+// Reads the configuration from the file that EDGE_CONFIG names and from the environment variables that
+// override it. Throws ConfigError.
 Config configFromEnvironment(ConfigLoad load = ConfigLoad::initial);
 
 }  // namespace gateway::net
