--- a/src/net/client/arrival_log.cpp
+++ b/src/net/client/arrival_log.cpp
@@ -3,7 +3,7 @@
 namespace gateway::net {
 namespace {
 
-constexpr Duration kResolution = std::chrono::milliseconds(10);  // bytes this close count as one arrival
+constexpr Duration kResolution = std::chrono::milliseconds(10);  // closer arrivals share an entry
 
 }  // namespace
 
--- a/src/net/client/arrival_log.h
+++ b/src/net/client/arrival_log.h
@@ -1,4 +1,4 @@
-// Arrival times of the bytes of one stream.
+// Records when the bytes of a stream arrived.
 #pragma once
 
 #include <cstdint>
@@ -8,28 +8,30 @@
 
 namespace gateway::net {
 
-// Keeps when each pipelined request arrived. A client counts the time of a request from when it sent the
-// request, not from the response before, so each request's time runs from the arrival of its first byte.
+// Determines when each request of a pipeline arrived. A client measures a request's timeout from the time at
+// which it sent the request, not from the previous response, so the gateway measures it from the arrival of
+// the request's first byte.
 class ArrivalLog {
 public:
-    // Notes that bytes arrived at `now`. `unconsumedBytes` counts all bytes that have arrived so far and are
-    // not consumed.
+    // Records that bytes arrived at `now`. `unconsumedBytes` is the number of all bytes that have arrived and
+    // have not been consumed.
     void noteArrival(std::uint64_t unconsumedBytes, TimePoint now);
 
-    // Notes that the oldest unconsumed bytes were consumed.
+    // Records that the oldest `bytes` unconsumed bytes were consumed.
     void consume(std::uint64_t bytes) { consumedBytes_ += bytes; }
 
-    // Returns when the first unconsumed byte arrived, to 10 ms, and drops the entries before it.
+    // Returns when the first unconsumed byte arrived, accurate to 10 ms, and drops earlier entries.
     // Precondition: there is an unconsumed byte.
     TimePoint takeArrivalOfNext();
 
 private:
     struct Arrival {
-        std::uint64_t offset = 0;  // bytes that arrived before
+        std::uint64_t offset = 0;  // number of bytes that arrived earlier
         TimePoint time{};
     };
 
-    std::vector<Arrival> arrivals_;  // in order; the first covers the first unconsumed byte, or one before it
+    // In order. The first entry covers the first unconsumed byte or an earlier one.
+    std::vector<Arrival> arrivals_;
     std::uint64_t consumedBytes_ = 0;
     std::uint64_t arrivedBytes_ = 0;
 };
--- a/src/net/client/client_request.cpp
+++ b/src/net/client/client_request.cpp
@@ -15,17 +15,18 @@
 
 namespace {
 
-constexpr std::uint64_t kTenantIdEnd = std::uint64_t{1} << 33;  // one past the greatest
+constexpr std::uint64_t kTenantIdEnd = std::uint64_t{1} << 33;  // one past the greatest id
 constexpr std::size_t kTenantIdDigits = 16;
 constexpr int kHexBase = 16;
 constexpr std::size_t kMaxRequestIdBytes = 128;
-// Bounds how long a request, and its id, can be in flight: in deadlines of its class.
+// Upper bound of a request's timeout, as a multiple of its class's deadline. Limits how long a request id can
+// be in use.
 constexpr int kMaxTimeoutInDeadlines = 2;
 
 // ---- Values ---------------------------------------------------------------------------------------
 
-// Reads text that is one number and nothing else. `format` is passed on to std::from_chars: the base of an
-// integer.
+// Parses text that is one number and nothing else. Returns nothing for any other text. `format` is passed to
+// std::from_chars, for example the base of an integer.
 template <class Number, class... Format>
 std::optional<Number> parseNumber(string_view text, Format... format) {
     Number value{};
@@ -52,7 +53,7 @@
     return text;
 }
 
-// Returns the first segment of the target's path; nothing if the target has no path.
+// Returns the first segment of the target's path, or nothing if the target has no path.
 std::optional<string_view> firstPathSegment(string_view target) {
     if (target.empty() || target.front() != '/') return std::nullopt;
     const auto end = std::min(target.find_first_of("/?", 1), target.size());
@@ -61,14 +62,14 @@
 
 // ---- X-Metering -----------------------------------------------------------------------------------
 
-// The header X-Metering, for example "units=2,spread=3,first=1".
+// The values of the header X-Metering, for example "units=2,spread=3,first=1". Absent values were not sent.
 struct Metering {
     std::optional<double> cost;
     std::optional<int> entryPoints;
     std::optional<int> firstEntryPoint;
 };
 
-// Reads one item, "name=value". Ignores items with other names. Returns false if the item is malformed.
+// Reads one item, "name=value". Ignores items with unknown names. Returns false if the item is malformed.
 bool readMeteringItem(string_view item, Metering& metering) {
     const auto equals = item.find('=');
     if (equals == string_view::npos) return false;
@@ -100,7 +101,9 @@
     return metering;
 }
 
-// ---- Headers, into RequestArrived: each function returns false if its header is invalid -----------
+// ---- Headers --------------------------------------------------------------------------------------
+
+// Each function reads one header into `arrival`, and returns false if the header is invalid.
 
 bool readMetering(string_view text, const RequestRules& rules, RequestArrived& arrival) {
     const std::optional<Metering> metering = parseMetering(text);
@@ -151,8 +154,8 @@
     return terms.idempotency == Idempotency::safe ? http::verb::get : http::verb::post;
 }
 
-// Reads the headers into `arrival`, whose request class is set. Returns the first part of the request that is
-// invalid, if there is one.
+// Reads the headers into `arrival`, and checks the body. Returns the first invalid part of the request, or
+// nothing if all are valid. Precondition: the request class of `arrival` is set.
 std::optional<RequestField> readHeaders(const HttpRequest& message, const RequestRules& rules,
                                         TimePoint receivedAt, RequestArrived& arrival) {
     const int classIndex = static_cast<int>(arrival.requestClass);
--- a/src/net/client/client_request.h
+++ b/src/net/client/client_request.h
@@ -1,4 +1,4 @@
-// Checks clients' requests and translates them into the engine's terms.
+// Validates clients' requests and converts them to events of the decision engine.
 #pragma once
 
 #include <boost/beast/http/message.hpp>
@@ -17,11 +17,11 @@
 
 using HttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
 
-// The settings that requests are checked against.
+// The settings that requests are validated against.
 struct RequestRules {
     std::vector<RequestClass> classes;
     std::vector<std::string> classNames;  // in the order of `classes`
-    std::vector<std::string> planNames;   // in the order of the plans' indices
+    std::vector<std::string> planNames;   // in the order of Settings::plans
     int gatewayCount = 1;
     double maxRequestCost = 1;
 };
@@ -32,7 +32,7 @@
     std::shared_ptr<const ForwardedRequest> forwarded;
 };
 
-// The part of a request that is at fault.
+// The part of a request that is invalid.
 enum class RequestField {
     target,
     method,
@@ -52,13 +52,14 @@
     RequestField field = RequestField::target;
 };
 
-// Checks a request. Only requests in exactly the protocol's form are valid, as no other may reach an
-// endpoint. `receivedAt` is when the first byte of the request arrived; its deadline counts from there.
+// Validates a request. Accepts only requests that have exactly the protocol's form, because no other request
+// may reach an endpoint. `receivedAt` is when the first byte of the request was received; the request's
+// deadline is computed from it.
 std::variant<ClientRequest, RequestError> parseClientRequest(const HttpRequest& message,
                                                              const RequestRules& rules, TimePoint receivedAt);
 
-// Whether readers of the header could disagree on where the body ends, so that the body could hide another
-// request (request smuggling).
+// Returns whether two parsers of the header could disagree on where the body ends, so that the body could
+// hide another request (request smuggling).
 bool hasAmbiguousLength(const HttpRequest& message);
 
 }  // namespace gateway::net
--- a/src/net/client/client_request_reader.cpp
+++ b/src/net/client/client_request_reader.cpp
@@ -11,7 +11,7 @@
 
 using Parser = http::request_parser<http::string_body>;
 
-// Returns the status to reject the request with, if it can't be read any further. `ec` is the parser's
+// Returns the status to reject the request with, or nothing if reading can continue. `ec` is the parser's
 // result.
 std::optional<http::status> findRejection(const Parser& parser, const error_code& ec) {
     if (announcesBodyOver(parser, kMaxBodyBytes)) return http::status::payload_too_large;
@@ -40,7 +40,7 @@
         return Progress::rejected;
     }
     if (parser_->is_done()) return Progress::complete;
-    // Beast asks for more behind a complete header only where the body is chunked.
+    // After a complete header, Beast returns need_more only for a chunked body.
     expectsContinue_ = ec == http::error::need_more && parser_->is_header_done() &&
                        boost::beast::iequals(parser_->get()[http::field::expect], "100-continue");
     return Progress::incomplete;
--- a/src/net/client/client_request_reader.h
+++ b/src/net/client/client_request_reader.h
@@ -1,4 +1,4 @@
-// Reads clients' HTTP requests out of a stream of bytes.
+// Parses clients' HTTP requests from a stream of bytes.
 #pragma once
 
 #include <boost/beast/core/flat_buffer.hpp>
@@ -14,42 +14,44 @@
 
 namespace gateway::net {
 
-// Reads the requests of one connection, one after another, and keeps when each one arrived. Checks their
-// framing and size; parseClientRequest() checks the rest.
+// Reads the requests of one connection, one after another, and records when each one arrived. Checks their
+// framing and size; parseClientRequest() checks their contents.
 class ClientRequestReader {
 public:
     enum class Progress {
-        incomplete,  // the request goes on in bytes that have not been received
+        incomplete,  // more bytes of the request must be received
         complete,    // call takeRequest()
         rejected,    // malformed or too large, see rejection(); the stream can't be read any further
     };
 
     ClientRequestReader() { reset(); }
 
-    // Notes that bytes were received at `now`. `unreadBytes`: all that were received and not read.
+    // Records that bytes were received at `now`. `unreadBytes` is the number of all bytes that were received
+    // and have not been consumed by read().
     void noteReceived(std::size_t unreadBytes, TimePoint now) { arrivals_.noteArrival(unreadBytes, now); }
 
-    // Reads on and consumes the bytes that belong to the request. Precondition: `input` is not empty, and
-    // what is in it was noted by noteReceived().
+    // Continues to read the request, and consumes the bytes of `input` that belong to it. Preconditions:
+    // `input` is not empty, and noteReceived() was called for its bytes.
     Progress read(boost::beast::flat_buffer& input, TimePoint now);
 
     // Returns the request that was read. Precondition: read() has returned `complete`, and takeRequest() has
     // not been called since.
     HttpRequest takeRequest();
 
-    // The status to answer with. Precondition: read() has returned `rejected`.
+    // Returns the status to answer with. Precondition: read() has returned `rejected`.
     boost::beast::http::status rejection() const { return rejection_; }
 
-    // A part of a request was read, and no more of it has been received.
+    // Returns whether a part of a request was read and the rest has not been received.
     bool isPartial() const { return isPartial_; }
 
-    // The client waits for 100 Continue before it sends the rest of the request.
+    // Returns whether the client waits for a response 100 Continue before it sends the rest of the request.
     bool expectsContinue() const { return expectsContinue_; }
 
-    // When the first byte of the latest request was received.
+    // Returns when the first byte of the latest request was received.
     TimePoint receivedAt() const { return receivedAt_; }
 
-    // When read() was first called for the latest request. Later than receivedAt() for a pipelined request.
+    // Returns when read() was first called for the latest request. This is later than receivedAt() for a
+    // pipelined request.
     TimePoint startedAt() const { return startedAt_; }
 
 private:
--- a/src/net/client/client_server.cpp
+++ b/src/net/client/client_server.cpp
@@ -34,7 +34,7 @@
 
 void ClientServer::listen(const tcp::endpoint& address) {
     acceptor_.open(address.protocol());
-    acceptor_.set_option(tcp::acceptor::reuse_address(true));  // a restarted process binds the same address
+    acceptor_.set_option(tcp::acceptor::reuse_address(true));  // for a restart with the same address
     acceptor_.bind(address);
     acceptor_.listen(kAcceptBacklog);
     acceptor_.non_blocking(true);
@@ -46,7 +46,8 @@
 void ClientServer::accept() {
     if (isAccepting_ || !isListening_) return;
     if (sessions_.size() >= limits_.connections) {
-        // A new client takes the place of an idle one. If none is idle, it waits in the accept queue.
+        // Makes room for a new client by ending an idle session. If no session is idle, new clients wait in
+        // the listener's backlog.
         const bool hasEndedOne = endIdleSession();
         if (!hasEndedOne) return;
     }
@@ -59,7 +60,8 @@
     isAccepting_ = false;
     if (!isListening_) return;
     if (ec) {
-        // Out of descriptors or memory. Without a pause the accept queue would cause a busy loop.
+        // The process is out of descriptors or memory. Without the pause, a client in the backlog would cause
+        // a busy loop of failing accepts.
         endIdleSession();
         timers_.after(kAcceptPause, [this] { accept(); });
         return;
@@ -78,15 +80,15 @@
 bool ClientServer::endIdleSession() {
     for (const SessionPtr& session : sessions_) {
         if (!session->isIdle() || session->hasInput()) continue;
-        const SessionPtr ended = session;  // keeps it alive: end() removes it from the list
+        const SessionPtr ended = session;  // keeps the session alive, since end() removes it from the list
         ended->end();
         return true;
     }
     return false;
 }
 
-// Accepts the next client from the event loop, and not at once: it would take the descriptor that is being
-// freed for another purpose.
+// Suppresses accepts while a session ends, and accepts the next client from the event loop. An accept before
+// this function returns would take the descriptor that the caller wants to free.
 bool ClientServer::evictIdleClient() {
     const bool wasAccepting = std::exchange(isAccepting_, true);
     const bool evicted = endIdleSession();
@@ -99,7 +101,7 @@
 
 void ClientServer::answer(ClientSession& session, const ClientResponse& response) {
     session.answer(response);
-    accept();  // accepting may have stopped because no session was idle
+    accept();  // accept() may have waited for a session to become idle
 }
 
 bool ClientServer::endIfDisconnected(ClientSession& session) {
@@ -124,8 +126,8 @@
         reportDrained();
 }
 
-// Ends sessions whose client does not send a request, or a complete one, or does not receive a response in
-// time: each would hold a descriptor for good.
+// Ends the sessions of clients that do not send a request, do not complete one or do not receive a response
+// in time. Otherwise each such client would hold a descriptor forever.
 void ClientServer::endStuckSessions() {
     if (isDraining_) return;
     std::vector<SessionPtr> stuck;
@@ -149,8 +151,8 @@
 
 // ---- Shutdown -------------------------------------------------------------------------------------
 
-// Idle connections close while the listener is still open: a client whose request crosses the close sends it
-// again on a new connection, which is accepted.
+// Closes idle connections while the listener is still open. A client that sends a request while its
+// connection is being closed can send the request again on a new connection.
 void ClientServer::drain(std::function<void()> done) {
     if (isDraining_) return;
     isDraining_ = true;
@@ -159,7 +161,7 @@
     timers_.after(limits_.listenAfterShutdown, [this] { stopListening(); });
 }
 
-// Serves what is in the accept queue: closing the listener would reset those connections.
+// Accepts the connections in the listener's backlog first, because closing the listener would reset them.
 void ClientServer::stopListening() {
     while (true) {
         tcp::socket socket(ioContext_);
@@ -173,7 +175,7 @@
     acceptor_.close(ec);
 }
 
-// Spares new connections for a while, as their first request may be on its way.
+// Keeps new connections open for kFirstRequestGrace, because their first request may be in transit.
 void ClientServer::endIdleSessionsWhileDraining() {
     const auto now = steady_clock::now();
     std::vector<SessionPtr> ended;
--- a/src/net/client/client_server.h
+++ b/src/net/client/client_server.h
@@ -1,4 +1,4 @@
-// The side of the gateway that clients connect to.
+// The server that accepts connections of clients.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -12,19 +12,20 @@
 
 namespace gateway::net {
 
-// Accepts clients and owns their sessions. Ends sessions that hold a connection without using it: idle ones
-// where the connection is needed for another client, and those of clients that stop sending or receiving.
+// Accepts clients and owns their sessions. Ends idle sessions when their connections are needed for other
+// clients, and the sessions of clients that stop sending a request or receiving a response.
 class ClientServer final : private ClientSessionObserver {
 public:
     struct Limits {
         std::size_t connections = 512;
-        Duration listenAfterShutdown{};  // from drain() until the listener closes
-        Duration idleGracePeriod{};      // from drain() until idle connections are closed
-        Duration maxPartialTime{};  // to start the first request on a connection, and to send one completely
-        Duration maxUndeliveredTime = std::chrono::seconds(10);  // to receive a response
+        Duration listenAfterShutdown{};  // time from drain() until the listener closes
+        Duration idleGracePeriod{};      // time from drain() until idle connections are closed
+        // Time for a client to start the first request on a connection, and to send a request completely.
+        Duration maxPartialTime{};
+        Duration maxUndeliveredTime = std::chrono::seconds(10);  // for a client to receive a response
     };
+    // The functions of ClientSessionObserver that the server delegates to its owner.
     struct Hooks {
-        // See ClientSessionObserver.
         std::function<bool()> isReady;
         std::function<bool(ClientRequest&&, const std::shared_ptr<ClientSession>&)> startRequest;
         std::function<void(const RequestId&)> onDisconnect;
@@ -34,10 +35,11 @@
     ClientServer(boost::asio::io_context& ioContext, TimerQueue& timers, const Clock& clock,
                  RequestRules rules, const Limits& limits, Hooks hooks);
 
-    // Starts to accept clients. Throws boost::system::system_error if the address can't be bound.
+    // Listens on `address` and accepts clients. Throws boost::system::system_error if the address can't be
+    // bound.
     void listen(const tcp::endpoint& address);
 
-    // The address that is listened on. Precondition: listen() has returned.
+    // Returns the address that the server listens on. Precondition: listen() has returned.
     tcp::endpoint address() const { return acceptor_.local_endpoint(); }
 
     // Answers the session's request in flight.
@@ -46,12 +48,13 @@
     // Ends the session that has been idle the longest, to free its descriptor. Returns false if none is idle.
     bool evictIdleClient();
 
-    // Ends the session if its client has closed the connection, also if that has not been read yet. Returns
-    // whether it has; Hooks::onDisconnect has been called then, if a request was in flight.
+    // Ends the session if its client has closed the connection, even if the event loop has not reported that
+    // yet. Returns whether the client has closed it; Hooks::onDisconnect was then called for a request in
+    // flight.
     static bool endIfDisconnected(ClientSession& session);
 
-    // Shuts down gracefully: goes on listening for a while, answers what clients have sent, and calls `done`
-    // when no session is left.
+    // Shuts down gracefully: continues to listen for Limits::listenAfterShutdown, answers the requests that
+    // clients have sent, and calls `done` when no session is left.
     void drain(std::function<void()> done);
 
 private:
@@ -82,7 +85,7 @@
     Hooks hooks_;
     tcp::acceptor acceptor_;
     std::list<SessionPtr> sessions_;  // the most recently active one at the back
-    bool isAccepting_ = false;        // an accept is pending, or must not be started
+    bool isAccepting_ = false;        // an accept is pending, or none may be started now
     bool isDraining_ = false;
     bool isListening_ = false;
     std::function<void()> onDrained_;
--- a/src/net/client/client_session.cpp
+++ b/src/net/client/client_session.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxPipelinedBytes = 96UL * 1024;    // kept while a request is in flight
+constexpr std::size_t kMaxPipelinedBytes = 96UL * 1024;    // that are kept while a request is in flight
 constexpr Duration kLingerTime = std::chrono::seconds(1);  // for the client to receive the last response
 constexpr std::string_view kReadinessTarget = "/-/ready";
 
@@ -46,14 +46,14 @@
         return;
     }
     if (input().size() == 0) return;
-    // The next request was pipelined. It is read from the event loop, not from within this answer.
+    // The next request is already in the input. Reads it from the event loop to avoid recursion.
     timers_.after(Duration::zero(), [weak = weak_from_this()] {
         if (const auto session = weak.lock()) static_cast<ClientSession&>(*session).readNext();
     });
 }
 
-// Requests that have been received are answered before the connection closes, also while the gateway drains:
-// closing would lose them.
+// The connection stays open while it has unread requests, even if the gateway is draining, because closing it
+// would lose them.
 bool ClientSession::shouldStayOpen() {
     if (!keepAlive_) return false;
     if (input().size() > 0) return true;
@@ -71,7 +71,8 @@
     answer(plainResponse(status));
 }
 
-// Closes the sending side only and waits for the client to close: a reset could overtake the last response.
+// Shuts down the sending side only and waits for the client to close the connection. A full close could cause
+// a reset that destroys the last response before the client reads it.
 void ClientSession::linger() {
     isLingering_ = true;
     if (allWritten()) shutdownSend();
@@ -104,7 +105,7 @@
         readNext();
         return;
     }
-    // Later bytes are dropped, not left unread, so that the client's close is still noticed.
+    // Drops further bytes instead of leaving them unread, so that the client's close is still noticed.
     if (input().size() > kMaxPipelinedBytes) dropFurtherInput();
 }
 
@@ -131,7 +132,7 @@
 }
 
 void ClientSession::continueIncompleteRequest() {
-    if (dropsInput()) {  // the rest of the request was dropped
+    if (dropsInput()) {  // the rest of the request was dropped, so it can't be completed
         linger();
         return;
     }
--- a/src/net/client/client_session.h
+++ b/src/net/client/client_session.h
@@ -17,31 +17,31 @@
 
 class ClientSession;
 
-// Receives the events of client sessions, and answers what a session needs to know of the gateway.
+// Receives the events of client sessions, and gives them the state of the gateway that they depend on.
 class ClientSessionObserver {
 public:
     virtual ~ClientSessionObserver() = default;
 
     virtual const RequestRules& rules() const = 0;
-    // The gateway has an endpoint list and may be sent requests.
+    // Returns whether the gateway has an endpoint list and can serve requests.
     virtual bool isReady() const = 0;
-    // The gateway is shutting down: it answers requests and closes idle connections.
+    // Returns whether the gateway is shutting down: it answers requests and closes idle connections.
     virtual bool isDraining() const = 0;
 
-    // Takes over a request, and answers it later by ClientSession::answer(), possibly before this returns.
-    // Returns false, and does nothing, if a request with the same id is in flight.
+    // Starts to serve a request. The response is sent by ClientSession::answer(), possibly before this
+    // function returns. Returns false, and does nothing, if a request with the same id is in flight.
     virtual bool startRequest(ClientRequest&& request, const std::shared_ptr<ClientSession>& session) = 0;
-    // The session ended before its request was answered.
+    // Called when the session ends before its request was answered.
     virtual void onDisconnect(const RequestId& request) = 0;
-    // The session is about to read a request, or waits for one.
+    // Called when the session starts to read a request or to wait for one.
     virtual void onActive(ClientSession& session) = 0;
-    // The session has ended. Called once.
+    // Called once, when the session has ended.
     virtual void onEnded(ClientSession& session) = 0;
 };
 
 // Reads a client's requests one at a time and writes one response to each. Answers malformed requests and
-// readiness checks itself. While a request is in flight it receives pipelined bytes, up to a limit, and so
-// notices that the client closes the connection.
+// readiness checks itself. While a request is in flight, the session continues to receive, so that it notices
+// when the client closes the connection. It keeps pipelined bytes up to a limit.
 class ClientSession final : public TcpConnection {
 public:
     using Position = std::list<std::shared_ptr<ClientSession>>::iterator;
@@ -50,33 +50,34 @@
     ClientSession(tcp::socket&& socket, ClientSessionObserver& observer, TimerQueue& timers,
                   const Clock& clock);
 
-    // The session's place in its owner's list. For the owner alone.
+    // The session's position in its owner's list of sessions. Only the owner uses it.
     void setPosition(Position position) { position_ = position; }
     Position position() const { return position_; }
 
     // Answers the request in flight.
     void answer(const ClientResponse& response);
 
-    // Answers with this status and closes the connection.
+    // Answers with this status and then closes the connection.
     void answerAndClose(boost::beast::http::status status);
 
-    // Ends the session at once, unless it has ended already.
+    // Closes the connection at once. Has no effect on a session that has ended.
     void end();
 
-    // No request is in flight, being received or being answered.
+    // Returns whether no request is in flight, being received or being answered.
     bool isIdle() const { return !isBusy_ && !isLingering_ && !reader_.isPartial() && allWritten(); }
 
-    // No response has been sent.
+    // Returns whether no response has been sent.
     bool isFresh() const { return responses_ == 0; }
 
-    // No response has been sent and no byte received.
+    // Returns whether no response has been sent and no byte received.
     bool hasExchangedNothing() { return isFresh() && isIdle() && !hasInput(); }
 
-    // How long the client has taken so far to send a request completely, or to receive a response. The time
-    // for a first request starts with the connection. 0 if neither is going on.
+    // Returns for how long the client has been sending an incomplete request, or has not received a complete
+    // response; 0 if neither is the case. For the first request, the time is measured from the start of the
+    // connection.
     Duration stuckFor(TimePoint now) const;
 
-    // When bytes were last received or a response was sent.
+    // Returns when the session last received bytes or sent a response.
     std::chrono::steady_clock::time_point activeAt() const { return activeAt_; }
 
 private:
@@ -100,15 +101,15 @@
     const Clock& clock_;
     Position position_{};
     ClientRequestReader reader_;
-    RequestId request_;   // in flight, while isBusy_
-    std::string output_;  // kept for its capacity
+    RequestId request_;   // the request in flight, if isBusy_
+    std::string output_;  // a member to reuse its capacity
     TimePoint acceptedAt_;
-    TimePoint blockedAt_{};  // when a response was sent that the kernel did not take completely
+    TimePoint blockedAt_{};  // when a response was sent that the kernel did not accept completely
     std::chrono::steady_clock::time_point activeAt_ = std::chrono::steady_clock::now();
     std::uint64_t responses_ = 0;
     bool hasEnded_ = false;
     bool isBusy_ = false;       // a request is in flight
-    bool isLingering_ = false;  // the last response was sent; the client's close is awaited
+    bool isLingering_ = false;  // the last response was sent, and the client should close the connection
     bool hasSentContinue_ = false;
     bool keepAlive_ = true;  // the client wants to send more requests
 };
