--- a/src/net/counter/counter_client.cpp
+++ b/src/net/counter/counter_client.cpp
@@ -91,12 +91,12 @@
     Lane& lane = lanes_[connection.lane()];
     if (lane.current.get() != &connection) return;
     lane.current = nullptr;
-    if (wasConnected) return;  // the counter may have closed an idle connection: no reason to back off
+    if (wasConnected) return;  // needs no backoff: the counter may have closed an idle connection
     lane.backoff = std::clamp(lane.backoff * 2, kInitialBackoff, kMaxBackoff);
     lane.connectNotBefore = steady_clock::now() + lane.backoff;
 }
 
-// ---- Moving to another address --------------------------------------------------------------------
+// ---- Change of address ----------------------------------------------------------------------------
 
 void CounterClient::moveTo(const tcp::endpoint& address) {
     if (address == address_) return;
@@ -107,23 +107,23 @@
 
 void CounterClient::moveLane(std::size_t index) {
     Lane& lane = lanes_[index];
-    // A lane has at most one previous connection: calls at an older address end as timed out.
+    // A lane keeps at most one previous connection. Calls on an older one end as timed out.
     const ConnectionPtr oldest = std::exchange(lane.previous, nullptr);
     if (oldest) oldest->failAll();
     const ConnectionPtr old = std::exchange(lane.current, nullptr);
     if (old && old->isOpen() && !old->isIdle()) {
-        lane.previous = old;  // its calls end by their own timeouts at the latest
+        lane.previous = old;  // its calls end at their timeouts at the latest
         old->release();
     } else if (old) {
         old->failAll();
     }
     lane.backoff = {};
     lane.connectNotBefore = {};
-    if (!lane.current) connect(index);  // a call that the reports above caused has connected already
+    if (!lane.current) connect(index);  // failAll() may have caused a new call, which has connected already
 }
 
-// The engine takes replies for a name in the order of the calls: nothing is written to the new address while
-// a call at the old one is in flight.
+// The engine expects the replies for a name in the order of the calls, so a lane writes nothing to the new
+// address while a call to the old one is in flight.
 bool CounterClient::mayWrite(const CounterConnection& connection) const {
     const Lane& lane = lanes_[connection.lane()];
     return lane.previous == nullptr || lane.previous.get() == &connection;
@@ -133,7 +133,7 @@
     onReply_(std::move(reply));
     const Lane& lane = lanes_[connection.lane()];
     if (lane.previous.get() != &connection || !connection.isIdle()) return;
-    // Retired from the event loop, as the connection may still be reading its input.
+    // Retires the connection from the event loop, since it may still be reading its input.
     timers_.after(Duration::zero(), [this, index = connection.lane(), weak = std::weak_ptr(lane.previous)] {
         if (const auto previous = weak.lock()) retirePrevious(index, previous);
     });
--- a/src/net/counter/counter_client.h
+++ b/src/net/counter/counter_client.h
@@ -1,4 +1,4 @@
-// Calls the counter service over a few connections.
+// A client of the counter service that uses several connections.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -15,12 +15,13 @@
 
 namespace gateway::net {
 
-// Spreads calls over lanes by name: all calls for a name go over one lane, so their replies come in the order
-// of the calls. A lane has one connection, which it replaces when the connection breaks or the counter moves.
+// Distributes calls over lanes by a hash of the counter name. All calls for a name use the same lane, so
+// their replies come in the order of the calls. A lane has one connection, and replaces it when the
+// connection breaks or the counter's address changes.
 class CounterClient final : private CounterConnectionObserver {
 public:
     struct Limits {
-        std::size_t lanes = 8;  // the counter accepts 32 connections from a gateway
+        std::size_t lanes = 8;  // the counter accepts at most 32 connections from a gateway
         Duration callTimeout{};
         Duration connectTimeout{};
         ReclaimDescriptor reclaimDescriptor{};  // called when the process has no free descriptor
@@ -31,16 +32,16 @@
     CounterClient(boost::asio::io_context& ioContext, TimerQueue& timers, const tcp::endpoint& address,
                   const Limits& limits, ReplyHandler onReply);
 
-    // Starts a call. The ReplyHandler is called once for it, possibly before add() returns. The call is sent
-    // with flush().
+    // Starts a call, which the next flush() sends. Calls the ReplyHandler once for it, possibly before add()
+    // returns.
     void add(const AddToCounter& call);
     void flush();
 
-    // All calls have ended.
+    // Returns whether all calls have ended.
     bool isIdle() const;
 
-    // Moves to the counter at another address. New calls go there, but a lane's new calls wait until its
-    // calls at the old address have ended.
+    // Sends new calls to another address. A lane holds its new calls until its calls to the old address have
+    // ended.
     void moveTo(const tcp::endpoint& address);
 
 private:
@@ -48,7 +49,7 @@
 
     struct Lane {
         ConnectionPtr current;
-        ConnectionPtr previous;  // to the old address, until its calls have ended
+        ConnectionPtr previous;  // the connection to the old address, until its calls have ended
         std::chrono::steady_clock::time_point connectNotBefore{};
         Duration backoff{};
         bool needsFlush = false;
--- a/src/net/counter/counter_connection.cpp
+++ b/src/net/counter/counter_connection.cpp
@@ -9,8 +9,9 @@
 
 namespace {
 
-constexpr Duration kMaxIdleTime = std::chrono::seconds(3);  // the counter closes after about 10 s or less
-// A call that is unanswered for this many timeouts shows that its connection is dead.
+// The counter closes idle connections after about 10 s or less.
+constexpr Duration kMaxIdleTime = std::chrono::seconds(3);
+// A connection counts as dead if a call has been unanswered for this many call timeouts.
 constexpr int kMaxSilentTimeouts = 4;
 
 }  // namespace
@@ -32,7 +33,8 @@
     call.startedAt = steady_clock::now();
     std::string text;
     appendCounterCall(text, add, host);
-    // A call is kept back until the connection may write: if it times out first, it must never be sent.
+    // Holds the call until the connection may write, because a call that times out before that must not be
+    // sent.
     if (isOpen() && observer_.mayWrite(*this))
         queueCall(call, text);
     else
@@ -117,7 +119,7 @@
     while (input().size() > 0) {
         const Progress progress = parser_.read(input());
         if (progress == Progress::incomplete) return;
-        // After a malformed response, or one without a call, responses can't be matched with calls any more.
+        // Responses can't be matched with calls after a malformed response or a response without a call.
         if (progress == Progress::malformed || calls_.empty()) {
             onClosed();
             return;
@@ -127,9 +129,9 @@
     }
 }
 
-// Reports the call that the response is for. Returns false if the connection is closed after that.
+// Reports the oldest call as ended with this response. Returns false if the connection is then closed.
 bool CounterConnection::finishOldestCall(const CounterResponse& response) {
-    if (response.isOk && !response.total) {  // whether the amount was added is unknown
+    if (response.isOk && !response.total) {  // it is unknown whether the amount was added
         onClosed();
         return false;
     }
@@ -144,8 +146,7 @@
 
 void CounterConnection::onClosed() {
     const bool wasConnected = isOpen() || written() > 0;
-    // The observer drops this connection first: the reports below can cause new calls, which must go
-    // elsewhere.
+    // Informs the observer first, because failAll() can cause new calls, which must use another connection.
     observer_.onBroken(*this, wasConnected);
     failAll(Outcome::reset);
 }
--- a/src/net/counter/counter_connection.h
+++ b/src/net/counter/counter_connection.h
@@ -1,4 +1,4 @@
-// One connection to the counter service, with pipelined calls.
+// A connection to the counter service, with pipelined calls.
 #pragma once
 
 #include <chrono>
@@ -17,49 +17,51 @@
 
 class CounterConnection;
 
-// Receives the events of counter connections, and allows them to write.
+// Receives the events of counter connections, and decides when they may write.
 class CounterConnectionObserver {
 public:
     virtual ~CounterConnectionObserver() = default;
 
-    // Whether the connection may write calls now. Calls that may not be written are kept until
-    // CounterConnection::release() or their timeout.
+    // Returns whether the connection may write calls now. A call that may not be written is held until
+    // CounterConnection::release() or the call's timeout.
     virtual bool mayWrite(const CounterConnection& connection) const = 0;
-    // The connection is established; it writes its calls after this.
+    // Called when the connection is established, before it writes its calls.
     virtual void onConnected(const CounterConnection& connection) = 0;
-    // A call has ended. Every call causes exactly one.
+    // Called once for each call, when the call has ended.
     virtual void onReply(const CounterConnection& connection, CounterReplied&& reply) = 0;
-    // The connection broke or was never established. Its calls are reported after this. `wasConnected`: it
-    // had been established.
+    // Called when the connection broke or could not be established, before onReply() is called for its calls.
+    // `wasConnected`: the connection had been established.
     virtual void onBroken(const CounterConnection& connection, bool wasConnected) = 0;
 };
 
-// Writes calls in order and matches responses with them in that order. A call that times out is reported
-// then; its late response is read and dropped.
+// Writes calls in order and matches responses with them in that order. Reports a call that times out at its
+// timeout, and discards the response if it arrives later.
 class CounterConnection final : public TcpConnection {
 public:
-    // `observer` and `timers` must outlive the connection while it is open. `lane` is for the observer, to
-    // tell its connections apart.
+    // `observer` and `timers` must be valid until the connection is closed. `lane` identifies the connection
+    // to the observer.
     CounterConnection(boost::asio::io_context& ioContext, CounterConnectionObserver& observer,
                       TimerQueue& timers, std::size_t lane, Duration callTimeout);
 
     std::size_t lane() const { return lane_; }
 
-    // Starts a call. It is written with flush(), or once the connection is established and may write.
+    // Starts a call. The call is written by the next flush(), or, if the connection is not established yet or
+    // may not write, by release().
     void call(const AddToCounter& add, std::string_view host);
 
-    // Writes the calls that were kept back, if the connection is established and may write.
+    // Writes the calls that are held, if the connection is established and may write.
     void release();
 
-    // Closes the connection and reports all calls as ended. A call that was written in full ends with
-    // `writtenOutcome`; any other with connectFailed, as the counter has not received it.
+    // Closes the connection and reports all calls as ended. A call that was written completely ends with
+    // `writtenOutcome`. Any other call ends with connectFailed, since the counter has not received it.
     void failAll(Outcome writtenOutcome = Outcome::timedOut);
 
-    // The connection should not carry another call: it has been idle so long that the counter may be closing
-    // it, or unanswered so long that it is probably dead.
+    // Returns whether the connection should not be used for another call: it has been idle for so long that
+    // the counter may be closing it, or a call has been unanswered for so long that the connection is
+    // probably dead.
     bool isStale() const;
 
-    // All calls have been reported. Responses to calls that timed out may still be due.
+    // Returns whether all calls have been reported. Responses to calls that timed out may still arrive.
     bool isIdle() const;
 
 private:
@@ -69,10 +71,10 @@
         std::uint64_t number = 0;
         std::string name;
         SteadyTime startedAt{};
-        std::string unqueued;                 // the request, while it is kept back
-        std::optional<std::uint64_t> endsAt;  // offset in the stream behind the request, once it is queued
+        std::string unqueued;                 // the encoded request, while the call is held
+        std::optional<std::uint64_t> endsAt;  // offset of the request's end in the output, once it is queued
         TimerQueue::Token timeoutTimer = 0;
-        bool hasTimedOut = false;  // reported; the response has not been received
+        bool hasTimedOut = false;  // the call was reported; its response has not been received
     };
 
     void onConnected() override;
--- a/src/net/counter/counter_protocol.cpp
+++ b/src/net/counter/counter_protocol.cpp
@@ -19,7 +19,7 @@
 constexpr std::uint64_t kMaxResponseBytes = 4096;
 constexpr auto kFirstFinalStatus = static_cast<unsigned>(http::status::ok);
 
-// Writes fixed notation: the counter does not read exponents.
+// Uses fixed notation, because the counter does not accept exponents.
 void appendDecimal(std::string& text, double value) {
     std::array<char, kMaxDecimalChars> chars{};
     const auto end =
--- a/src/net/counter/counter_protocol.h
+++ b/src/net/counter/counter_protocol.h
@@ -1,4 +1,4 @@
-// The counter service's HTTP messages. This is the only place that knows their form.
+// Encoding and decoding of the counter service's HTTP messages.
 #pragma once
 
 #include <boost/beast/core/flat_buffer.hpp>
@@ -12,34 +12,35 @@
 
 namespace gateway::net {
 
-// Appends the HTTP request of a call to `text`. `host` is the counter's address, for the Host header. The
-// time to live is rounded up to whole milliseconds, 1 ms at least.
+// Appends the HTTP request for a call to `text`. `host` is the value of the Host header. Rounds the time to
+// live up to whole milliseconds, and to at least 1 ms.
 void appendCounterCall(std::string& text, const AddToCounter& call, std::string_view host);
 
-// Returns the total in the body of a response: one finite decimal number, which white space may follow.
-// Returns nothing for any other body.
+// Returns the total in the body of a response, or nothing if the body is not one finite decimal number,
+// optionally followed by white space.
 std::optional<double> parseCounterTotal(std::string_view body);
 
 // A final response of the counter.
 struct CounterResponse {
     bool isOk = false;            // status 200: the amount was added
-    std::optional<double> total;  // absent where the body is not a total
+    std::optional<double> total;  // absent if the body is not a valid total
     bool keepsAlive = false;      // the connection stays open after this response
 };
 
-// Reads pipelined responses out of a stream of bytes, one after another.
+// Parses pipelined responses from a stream of bytes, one after another.
 class CounterResponseParser {
 public:
     enum class Progress {
-        incomplete,  // the response goes on in bytes that have not been received
+        incomplete,  // more bytes of the response must be received
         interim,     // a 1xx response was read; the final one follows
         complete,    // a final response was read: call takeResponse()
-        malformed,   // nothing more can be read from this stream
+        malformed,   // the stream can't be read any further
     };
 
     CounterResponseParser() { reset(); }
 
-    // Reads on and consumes the bytes that belong to the response. `input` must not be empty.
+    // Continues to read the response, and consumes the bytes of `input` that belong to it. Precondition:
+    // `input` is not empty.
     Progress read(boost::beast::flat_buffer& input);
 
     // Returns the response that was read. Precondition: read() has returned `complete`, and takeResponse()
