--- a/src/net/discovery/discovery_client.cpp
+++ b/src/net/discovery/discovery_client.cpp
@@ -7,8 +7,7 @@
 namespace gateway::net {
 namespace {
 
-// Longer than any call stays pending: a call that connects late is one that is not answered yet, and only a
-// newer call closes it.
+// Longer than any call stays pending, so that a slow connect does not end a call: only newer calls close it.
 constexpr Duration kConnectTimeout = std::chrono::seconds(10);
 constexpr std::size_t kMaxPendingCalls = 2;
 
@@ -24,8 +23,8 @@
 
 // ---- Calls ----------------------------------------------------------------------------------------
 
-// Schedules the next call at once, so that one follows in time however this one goes on. Only an answer
-// cancels it.
+// Schedules the next call before this one connects, so that the next call is made in time however this one
+// fails. Only an answer cancels the next call.
 void DiscoveryClient::call() {
     if (isStopped_) return;
     if (pending_.size() >= kMaxPendingCalls) {
@@ -108,7 +107,7 @@
     const bool wasNewest = isNewestPending(stream);
     if (wasWatch) watch_ = nullptr;
     std::erase_if(pending_, [&](const StreamPtr& pending) { return pending.get() == &stream; });
-    // The end of an older call changes nothing: the next call was scheduled with the newer one.
+    // The end of an older call has no effect, because the newer call has scheduled the next one.
     if (isStopped_ || !(wasWatch || wasNewest)) return;
     scheduleCall(stream.lacksDescriptor() ? options_.schedule.delayAfterDescriptorShortage()
                                           : options_.schedule.delayAfterFailure(clock_.now()));
@@ -127,8 +126,8 @@
     applyUpdate(parse(document));
 }
 
-// Logs an invalid document and throws, which ends the stream. The next watch asks for the changes since the
-// last valid version.
+// If the document is invalid, logs that and throws, which ends the stream. The next watch requests the
+// changes since the last valid version.
 EndpointList DiscoveryClient::parse(std::string_view document) const {
     try {
         return parseEndpointList(document, options_.vocabulary);
--- a/src/net/discovery/discovery_client.h
+++ b/src/net/discovery/discovery_client.h
@@ -1,4 +1,4 @@
-// Keeps the endpoint list up to date.
+// A client of discovery that keeps the endpoint list up to date.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -14,13 +14,13 @@
 
 namespace gateway::net {
 
-// Calls discovery by the PollSchedule, watches its list, and hands on every snapshot and change in
-// order.
+// Calls discovery at the times of a PollSchedule, watches the endpoint list, and passes every snapshot and
+// change to the UpdateHandler in order.
 //
-// A call that is not answered yet stays open while one newer call is made beside it: if it were closed, a
-// list that takes long to start would never be received. The call that is answered first becomes the watch
-// and the other one is closed. So updates come from one connection at a time, and no older change follows a
-// newer one.
+// While a call is unanswered, one newer call can be made. The older call stays open, since a list that takes
+// long to start would never be received if every call were closed by the next one. The call that is answered
+// first becomes the watch, and the other call is closed. So updates come from one connection at a time, and
+// an older change never follows a newer one.
 class DiscoveryClient final : private WatchStreamObserver {
 public:
     using UpdateHandler = std::function<void(const EndpointList&)>;
@@ -28,7 +28,7 @@
     struct Options {
         tcp::endpoint address;
         EndpointVocabulary vocabulary;
-        std::uint64_t knownVersion = 0;  // of the list that is known at the start
+        std::uint64_t knownVersion = 0;  // the version of the list that is known at the start
         PollSchedule schedule;
         ReclaimDescriptor reclaimDescriptor;  // called when the process has no free descriptor
     };
@@ -37,13 +37,14 @@
     DiscoveryClient(boost::asio::io_context& ioContext, TimerQueue& timers, const Clock& clock,
                     Options options, UpdateHandler onUpdate);
 
-    // Makes the first call, at once.
+    // Makes the first call.
     void start() { call(); }
 
-    // Closes all connections. No update is handed on after this.
+    // Closes all connections. The UpdateHandler is not called after this.
     void stop();
 
-    // Moves to discovery at another address, and requests a snapshot there: its versions may be different.
+    // Closes all connections and calls discovery at another address. Requests a snapshot there, because its
+    // versions are not comparable.
     void moveTo(const tcp::endpoint& address);
 
 private:
@@ -71,10 +72,11 @@
     const Clock& clock_;
     Options options_;
     UpdateHandler onUpdate_;
-    StreamPtr watch_;                 // the stream that sends the list; null if there is none
-    std::vector<StreamPtr> pending_;  // without an answer, or silent within a list: two at most, in order
+    StreamPtr watch_;  // the stream that receives the list; null if there is none
+    // The streams without an answer, and those that fell silent within a list: at most two, the oldest first.
+    std::vector<StreamPtr> pending_;
     bool isStopped_ = false;
-    bool needsSnapshot_ = false;  // no version of this discovery's list is known
+    bool needsSnapshot_ = false;  // no version of the list at this address is known
     TimerQueue::Token nextCall_ = 0;
 };
 
--- a/src/net/discovery/endpoint_list.cpp
+++ b/src/net/discovery/endpoint_list.cpp
@@ -10,7 +10,7 @@
 
 constexpr double kMicrosPerMilli = 1e3;
 
-// Returns the name's position. All unknown names share the position after the last one.
+// Returns the index of the name, or names.size() if the name is unknown.
 int positionOf(const std::string& name, const std::vector<std::string>& names) {
     return static_cast<int>(std::find(names.begin(), names.end(), name) - names.begin());
 }
--- a/src/net/discovery/endpoint_list.h
+++ b/src/net/discovery/endpoint_list.h
@@ -1,4 +1,4 @@
-// Discovery's documents: the endpoint list and changes of it.
+// Discovery's documents: endpoint lists and their changes.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -15,30 +15,31 @@
 // An endpoint and the address where it listens.
 struct ResolvedEndpoint {
     EndpointEntry entry;
-    boost::asio::ip::tcp::endpoint address;  // port 0: none was given, as for an endpoint that was removed
+    boost::asio::ip::tcp::endpoint address;  // port 0: no address was given, as for a removed endpoint
 };
 
-// One document.
+// One document: all endpoints, or those that have changed since the previous version.
 struct EndpointList {
     std::uint64_t version = 0;
-    bool isSnapshot = false;  // false: only the endpoints that changed since the version that is known
+    bool isSnapshot = false;  // the document lists all endpoints
     std::vector<ResolvedEndpoint> endpoints;
 };
 
-// The names that documents use for zones and kinds of machine, in the order of the settings. A name's
-// position is its ZoneId or MachineKind.
+// The names of zones and kinds of machine in documents, in the order of the settings. The index of a name is
+// its ZoneId or MachineKind.
 struct EndpointVocabulary {
     std::vector<std::string> zones;
     std::vector<std::string> kinds;
 };
 
-// Reads a document from its fields. Throws FieldError, with the place, if it is malformed.
+// Reads a document from its JSON fields. Throws FieldError if it is malformed.
 EndpointList readEndpointList(const Fields& fields, const EndpointVocabulary& vocabulary);
 
-// Reads a document from its text. Throws EndpointListError if it is malformed.
+// Parses a document. Throws EndpointListError if it is malformed.
 EndpointList parseEndpointList(std::string_view text, const EndpointVocabulary& vocabulary);
 
-// Reads an address, for example "10.0.0.4:7070". Throws FieldError for `place` if it is malformed.
+// Parses an IP address and a port, for example "10.0.0.4:7070". Throws FieldError for `place` if the text is
+// malformed.
 boost::asio::ip::tcp::endpoint parseAddress(const std::string& text, const std::string& place);
 
 }  // namespace gateway::net
--- a/src/net/discovery/json_document_stream.h
+++ b/src/net/discovery/json_document_stream.h
@@ -1,4 +1,4 @@
-// Finds complete JSON documents in a stream of bytes.
+// Splits a stream of bytes into JSON documents.
 #pragma once
 
 #include <cstddef>
@@ -8,18 +8,18 @@
 
 namespace gateway::net {
 
-// Splits a stream at the closing bracket of each document. A document may be spread over lines and pieces,
-// and a piece may hold several. Only brackets and strings are looked at: whoever parses a document checks the
-// rest.
+// Splits a stream at the closing bracket of each document. A document may contain line breaks, and may arrive
+// in several pieces; a piece may contain several documents. Examines only brackets and strings: the parser of
+// a document checks the rest.
 class JsonDocumentStream {
 public:
     using DocumentHandler = std::function<void(std::string_view)>;
 
-    // Appends `bytes` to the stream, and calls `onDocument` with each document that is complete, in order.
-    // Throws EndpointListError if the bytes between two documents are not white space.
+    // Appends `bytes` to the stream, and calls `onDocument` with each document that they complete, in order.
+    // Throws EndpointListError if there are bytes other than white space between two documents.
     void append(std::string_view bytes, const DocumentHandler& onDocument);
 
-    // Returns the number of bytes of the document that is not complete; 0 between two documents.
+    // Returns the number of bytes of the incomplete document; 0 between two documents.
     std::size_t pendingBytes() const { return pending_.size(); }
 
 private:
@@ -27,9 +27,9 @@
     bool appendToDocument(char character);
 
     std::string pending_;
-    int depth_ = 0;  // of brackets
+    int depth_ = 0;  // number of open brackets
     bool isInString_ = false;
-    bool isEscaped_ = false;  // the character before was a backslash, in a string
+    bool isEscaped_ = false;  // in a string, after a backslash that starts an escape sequence
 };
 
 }  // namespace gateway::net
--- a/src/net/discovery/poll_schedule.cpp
+++ b/src/net/discovery/poll_schedule.cpp
@@ -7,7 +7,7 @@
 
 using std::chrono::milliseconds;
 
-// The longest period with which a change is known by its deadline.
+// The longest period that meets kUpdateDeadline.
 constexpr Duration kMaxPeriod = kUpdateDeadline - kMaxCallTime;
 constexpr Duration kMinPeriod = std::chrono::seconds(1);
 constexpr Duration kPeriodAfterSilence = kUpdateDeadline - kMaxSilence - kMaxCallTimeAfterSilence;
--- a/src/net/discovery/poll_schedule.h
+++ b/src/net/discovery/poll_schedule.h
@@ -1,4 +1,4 @@
-// When discovery is called next. Arithmetic alone: no sockets, no timers, no clock.
+// Computes when discovery is called next. Uses no sockets, timers or clock.
 #pragma once
 
 #include <cstdint>
@@ -8,27 +8,29 @@
 
 namespace gateway::net {
 
-// A change of the endpoint list counts as known this long after discovery had it and could be reached, and
-// after the last byte of a watch that fell silent, whatever became of the calls in between.
+// The time within which the gateway must know a change of the endpoint list. It starts when discovery has the
+// change and is available, or with the last byte of a watch that fell silent, and holds however the calls
+// since then have failed.
 constexpr Duration kUpdateDeadline = std::chrono::seconds(6);
-// The same after SIGHUP, which moves the gateway to another discovery.
+// The same after SIGHUP, which can change discovery's address.
 constexpr Duration kReloadDeadline = std::chrono::seconds(4);
-// How much of these times a call to an available discovery takes, at most.
+// The parts of these times that are reserved for a call to an available discovery.
 constexpr Duration kMaxCallTime = std::chrono::milliseconds(1500);
 constexpr Duration kMaxCallTimeAfterSilence = std::chrono::milliseconds(1200);
 
-// A live watch sends something every 2 s. After this time without a byte it counts as broken.
+// Discovery sends bytes on every watch at least every 2 s. A watch without a byte for this long counts as
+// broken.
 constexpr Duration kMaxSilence = std::chrono::milliseconds(2300);
 
-// For an agent on the same machine to accept a call.
+// Time for an agent on the same machine to accept a connection.
 constexpr Duration kMaxConnectTime = std::chrono::seconds(1);
 
-// A gateway's own times t, at which t mod period == period * index / count on the clock that all gateways
-// share. So a fleet calls at an even rate without coordination; random times would have peaks.
+// The times at which one gateway calls discovery: every t with t mod period == period * index / count on the
+// clock that all gateways share. This spreads the calls of a fleet evenly without coordination. Random times
+// would cause peaks.
 class PollSlots {
 public:
-    // Values out of range are moved into it: `gatewayCount` to 1 or more, `gatewayIndex` to 0 up to
-    // gatewayCount - 1.
+    // Clamps `gatewayCount` to 1 or more, and `gatewayIndex` to the range from 0 to gatewayCount - 1.
     PollSlots(int gatewayIndex, int gatewayCount);
 
     // Returns the time from `now` to the next slot: more than 0 and at most `period`.
@@ -39,32 +41,32 @@
     int index_;
 };
 
-// Decides how long the next call to discovery waits. Every function returns that time, counted from `now`; it
-// replaces the time that was returned before.
+// Decides when discovery is called next. Each delay function returns the time from `now` until the next call,
+// which replaces the time that was returned before.
 class PollSchedule {
 public:
-    // For an agent on the same machine: calls cost nothing, and what the agent has counts as known at once.
+    // Returns the schedule for an agent on the same machine, which is called without waiting for a slot.
     static PollSchedule push(std::uint64_t seed);
 
-    // For a service that all gateways poll, with a queue. `maxPollInterval` is the longest time between two
-    // calls of this gateway; 0: no such limit.
+    // Returns the schedule for a service that all gateways poll, which queues their calls. `maxPollInterval`
+    // is the longest time between two calls of this gateway; 0: no such limit.
     static PollSchedule poll(int gatewayIndex, int gatewayCount, Duration maxPollInterval,
                              std::uint64_t seed);
 
-    // After a call has started. Does not depend on how the call goes on.
+    // After a call was started. Applies unless the call's progress causes another delay.
     Duration delayAfterStart(TimePoint now) const;
-    // After the call was connected and its request written.
+    // After a call was connected and its request written.
     Duration delayAfterRequest(TimePoint now) const;
-    // After a call failed: refused, rejected, broken, or with an invalid response.
+    // After a call failed: it was refused or rejected, its connection broke, or its response was invalid.
     Duration delayAfterFailure(TimePoint now);
-    // After a watch has been silent for kMaxSilence.
+    // After a watch was silent for kMaxSilence.
     Duration delayAfterSilence(TimePoint now);
     // After SIGHUP.
     Duration delayAfterReload(TimePoint now);
-    // After a call failed for want of a descriptor; discovery has not noticed that call.
+    // After a call failed because this process had no free descriptor. Such a call puts no load on discovery.
     Duration delayAfterDescriptorShortage();
 
-    // A list was received: ends the backoff and the urgent period.
+    // Must be called when a list was received. Ends the backoff and the urgent period.
     void noteListReceived();
 
 private:
@@ -76,7 +78,7 @@
 
     PollSlots slots_;
     Duration usualPeriod_;  // 0: push
-    // Until then failed calls are repeated after this period, if it is shorter than the usual one.
+    // Until this time, failed calls are repeated with urgentPeriod_ if it is shorter than the usual period.
     TimePoint urgentUntil_ = TimePoint::min();
     Duration urgentPeriod_{};
     Backoff backoff_;
--- a/src/net/discovery/watch_stream.cpp
+++ b/src/net/discovery/watch_stream.cpp
@@ -28,7 +28,7 @@
 
 void WatchStream::sendRequest() {
     parser_.emplace();
-    parser_->body_limit(boost::none);  // a watch has no end; its documents are removed as they come
+    parser_->body_limit(boost::none);  // a watch is endless; readDocuments() removes its documents
     parser_->eager(true);
     std::ostringstream request;
     request << "GET /api/targets";
@@ -58,8 +58,8 @@
     }
 }
 
-// Reads on in the response and hands on the documents of a watch. Returns false if the stream has ended; `ec`
-// is the parser's result otherwise.
+// Continues to read the response, and passes the documents of a watch to the observer. Returns false if the
+// stream has ended. Otherwise sets `ec` to the parser's result.
 bool WatchStream::readInput(error_code& ec) {
     const std::size_t used = parser_->put(input().data(), ec);
     input().consume(used);
@@ -78,14 +78,15 @@
     return isOpen();
 }
 
-// The empty lines between the documents only show that the watch is alive.
+// Discovery sends empty lines between the documents to show that the watch is alive. documents_ skips them.
 void WatchStream::readDocuments() {
     documents_.append(parser_->get().body(),
                       [this](std::string_view document) { observer_.onChanges(document); });
     parser_->get().body().clear();
 }
 
-// Returns false if the stream has ended.
+// Passes the snapshot to the observer and requests the changes since then. Returns false if the stream has
+// ended.
 bool WatchStream::finishSnapshot() {
     observer_.onSnapshot(parser_->get().body());
     needsSnapshot_ = false;
@@ -101,7 +102,8 @@
 
 // ---- Silence --------------------------------------------------------------------------------------
 
-// A status line or header alone does not count: the list after it may take as long as without it.
+// Called when bytes of the body have been received. A status line or a header is no sign that the list will
+// follow soon.
 void WatchStream::noteListStarted() {
     if (isReceivingList_) return;
     isReceivingList_ = true;
@@ -109,8 +111,8 @@
     if (!hasSilenceTimer_) checkSilence();
 }
 
-// A watch that is silent may have been cut off, together with its changes. What it misses counts from its
-// last byte, so the time is measured from there.
+// Ends a watch that has been silent for kMaxSilence, since its connection may be dead and changes may be
+// lost. The silence is measured from the last byte, because kUpdateDeadline is as well.
 void WatchStream::checkSilence() {
     hasSilenceTimer_ = false;
     if (!isReceivingList_) return;
--- a/src/net/discovery/watch_stream.h
+++ b/src/net/discovery/watch_stream.h
@@ -1,4 +1,4 @@
-// One call to discovery.
+// A call to discovery that watches the endpoint list.
 #pragma once
 
 #include <boost/beast/http/parser.hpp>
@@ -15,41 +15,42 @@
 
 class WatchStream;
 
-// Receives the events of watch streams, and knows what they should ask for.
+// Receives the events of watch streams, and gives them the data for their requests.
 class WatchStreamObserver {
 public:
     virtual ~WatchStreamObserver() = default;
 
-    // The version of the endpoint list that is known; a watch asks for the changes after it.
+    // Returns the version of the endpoint list that is known. A watch requests the changes since then.
     virtual std::uint64_t knownVersion() const = 0;
-    // Discovery's address, for the Host header.
+    // Returns discovery's address, for the Host header.
     virtual const tcp::endpoint& address() const = 0;
 
-    // The connection is established and the request written.
+    // Called when the connection is established and the first request was written.
     virtual void onRequestSent(const WatchStream& stream) = 0;
-    // The first bytes of a list were received. Called again if a list follows a silence.
+    // Called when the first bytes of a list were received, and again when bytes follow a silence.
     virtual void onListStarted(const WatchStream& stream) = 0;
-    // The snapshot is complete, and the request for the changes after it was written on the same connection.
+    // Called when the snapshot is complete and the request for the changes since then was written on the same
+    // connection.
     virtual void onWatchRequestSent(const WatchStream& stream) = 0;
-    // Nothing was received for kMaxSilence. With a list incomplete (`isListIncomplete`) the stream stays
-    // open, as the rest may still come; otherwise it is closed.
+    // Called when nothing was received for kMaxSilence. If a list is incomplete (`isListIncomplete`), the
+    // stream stays open, because the rest may still arrive. Otherwise the stream has been closed.
     virtual void onSilent(const WatchStream& stream, bool isListIncomplete) = 0;
-    // The stream ended: it broke, or its response is invalid.
+    // Called when the stream has ended because its connection broke or its response is invalid.
     virtual void onEnded(const WatchStream& stream) = 0;
 
-    // A complete list, or the changes since the document before. Throws if the document is invalid, which
-    // ends the stream.
+    // Called with a complete list, and with the changes since the previous document. Both throw if the
+    // document is invalid, which ends the stream.
     virtual void onSnapshot(std::string_view document) = 0;
     virtual void onChanges(std::string_view document) = 0;
 };
 
-// Sends a request for the endpoint list and receives its documents until the connection ends. If a snapshot
-// is needed, it is requested first, and then the changes after it, on the same connection: so they come in
-// order.
+// Requests the changes of the endpoint list and receives them until the connection ends. If a snapshot is
+// needed, requests it first, and then the changes since the snapshot on the same connection, so that they
+// arrive in order.
 class WatchStream final : public TcpConnection {
 public:
-    // `observer` and `timers` must outlive the stream while it is open. `needsSnapshot`: no version of the
-    // list is known, so the complete list is requested.
+    // `observer` and `timers` must be valid until the stream is closed. `needsSnapshot`: no version of the
+    // list is known, so a snapshot must be requested.
     WatchStream(boost::asio::io_context& ioContext, WatchStreamObserver& observer, TimerQueue& timers,
                 bool needsSnapshot);
 
@@ -71,8 +72,8 @@
     WatchStreamObserver& observer_;
     TimerQueue& timers_;
     bool needsSnapshot_;
-    bool isReceivingList_ = false;  // a list has started, and no silence has been noticed since
-    bool hasSilenceTimer_ = false;  // checkSilence() will be called by a timer
+    bool isReceivingList_ = false;  // a list has started, and no silence has been detected since
+    bool hasSilenceTimer_ = false;  // a timer will call checkSilence()
     std::chrono::steady_clock::time_point lastReceivedAt_{};
     JsonDocumentStream documents_;
     std::optional<Parser> parser_;
