--- a/include/gateway/actions.h
+++ b/include/gateway/actions.h
@@ -1,4 +1,4 @@
-// The actions that a decision engine returns. The caller carries them out in order.
+// The actions that a decision engine returns. The caller executes them in order.
 #pragma once
 
 #include <cstdint>
@@ -14,23 +14,23 @@
 struct SendAttempt {
     RequestId request;
     EndpointId endpoint;
-    Duration timeout{};
+    Duration timeout{};       // for the complete response
     Duration maxSendDelay{};  // an attempt that was not sent within it ends as notSent; 0: no limit
 };
 
 // Cancel an attempt whose response is no longer needed.
 struct CancelAttempt {
     RequestId request;
-    int attempt = 0;
+    int attempt = 0;  // position among the attempts of the request, from 0
 };
 
-// Final answer: the request was not served, and a retry by the client is harmless.
+// Final answer to the client: the request was not served, and the client may safely send it again.
 struct RejectRequest {
     RequestId request;
-    Duration retryAfter{};  // time until a retry makes sense; 0: unknown
+    Duration retryAfter{};  // time after which the client should retry; 0: unknown
 };
 
-// Final answer: the request was not served, and it may have run.
+// Final answer to the client: the request was not served, but an endpoint may have executed it.
 struct FailRequest {
     RequestId request;
 };
@@ -42,13 +42,13 @@
     Duration timeToLive{};  // of the name on the counter service
 };
 
-// Start a timer. One TimerFired follows.
+// Start a timer. Exactly one TimerFired follows.
 struct SetTimer {
     TimerId timer{};
     Duration delay{};
 };
 
-// Open a watch on discovery, and report each change of the endpoint set from now on.
+// Open a watch on discovery. From then on, an EndpointUpdate follows each change of the endpoint set.
 struct WatchEndpoints {};
 
 using Action = std::variant<SendAttempt, CancelAttempt, RejectRequest, FailRequest, AddToCounter, SetTimer,
--- a/include/gateway/decision_engine.h
+++ b/include/gateway/decision_engine.h
@@ -1,7 +1,8 @@
-// The decision engine of one gateway process: events and a time in, actions out.
+// The decision engine of one gateway process. It takes events with their times and returns actions.
 //
-// It has no I/O and no clock, so tests, the simulator and the server on real sockets run the same code. After
-// Šnuderl, "Rate limiting in API management"; docs/design.md lists what is kept and what is changed.
+// It performs no I/O and reads no clock, so the tests, the simulator adapter and the gateway server run the
+// same code. Its algorithms follow Šnuderl, "Rate limiting in API management"; docs/design.md lists what is
+// kept and what is changed.
 #pragma once
 
 #include <cstdint>
@@ -16,8 +17,8 @@
 // Not thread-safe. A moved-from engine may only be destroyed or assigned to.
 class DecisionEngine {
 public:
-    // Throws SettingsError if the settings can't be used. Two engines with the same settings, `seed` and
-    // events make the same decisions.
+    // Throws SettingsError if validate() finds a problem in the settings. Two engines with the same settings,
+    // `seed` and events make the same decisions.
     DecisionEngine(Settings settings, std::uint64_t seed);
     ~DecisionEngine();
     DecisionEngine(const DecisionEngine&) = delete;
@@ -25,8 +26,8 @@
     DecisionEngine(DecisionEngine&&) noexcept;
     DecisionEngine& operator=(DecisionEngine&&) noexcept;
 
-    // Handles one event that happens at `now`, and appends the actions that follow to `actions`. The caller
-    // carries them out in order. Precondition: `now` is not before that of the previous call.
+    // Handles an event that happened at `now`, and appends the resulting actions to `actions`. Precondition:
+    // `now` is not earlier than in the previous call.
     void handle(TimePoint now, const Event& event, Actions& actions);
 
 private:
--- a/include/gateway/events.h
+++ b/include/gateway/events.h
@@ -14,7 +14,7 @@
 // Whether an endpoint may receive attempts.
 enum class Availability {
     up,
-    draining,  // it finishes its attempts and receives new ones only during the drain grace period
+    draining,  // finishes its attempts, and may receive new ones only during the drain grace period
     removed,
 };
 
@@ -22,19 +22,19 @@
 struct EndpointEntry {
     EndpointId id;
     Availability availability = Availability::up;
-    TimePoint startedAt{};  // latest start of its process; the epoch: long ago
+    TimePoint startedAt{};  // latest start of its process; the epoch if it started long ago
     CellId cell{};          // for DeduplicationScope::cell
     MachineKind kind{};
     ZoneId zone{};
     double weight = 1;  // capacity relative to the other endpoints
 };
 
-// What the entries of an EndpointUpdate are.
+// Which entries an EndpointUpdate contains.
 enum class UpdateKind {
-    delta,     // those that changed
-    snapshot,  // all; an endpoint without an entry was removed
+    delta,     // the changed ones
+    snapshot,  // all listed ones; an endpoint without an entry was removed
     cached,    // a snapshot that may be out of date
-    failed,    // none: discovery could not be reached
+    failed,    // none, since discovery could not be reached
 };
 
 // Discovery reported the endpoint set, or a change of it.
@@ -49,33 +49,33 @@
     RequestClassIndex requestClass{};
     QuotaPlanIndex plan{};
     TenantId tenant{};
-    TimePoint deadline{};  // when the client gives up
+    TimePoint deadline{};  // when the client stops waiting
     double cost = 1;       // charge to the quota; an estimate with Settings::reconciliationEnabled
-    int entryPoints = 1;   // gateways at which this tenant's requests may arrive; 1 or more
-    bool isRetry = false;  // the client sent it before
+    int entryPoints = 1;   // number of gateways that receive this tenant's requests; at least 1
+    bool isRetry = false;  // the client has sent it before
 };
 
 // How an attempt, or a call to the counter, ended.
 enum class Outcome {
     ok,
-    error,          // the endpoint answered with an error
-    rejected,       // the peer did not start it
+    error,          // the endpoint responded with an error
+    rejected,       // the peer refused it without executing it
     timedOut,       // no complete response in time
-    connectFailed,  // no connection could be made
+    connectFailed,  // no connection could be established
     reset,          // the connection ended, or the response was malformed, after the request was sent
-    cancelled,      // by CancelAttempt, after the request was sent
-    notSent,        // this gateway did not send it
+    cancelled,      // CancelAttempt ended it after the request was sent
+    notSent,        // this gateway sent no complete request
 };
 
-// What an endpoint reported about its load. Absent values were not reported.
+// Load that an endpoint reported. Absent values were not reported.
 struct LoadReport {
-    std::optional<double> inFlight;  // requests of all gateways
+    std::optional<double> inFlight;  // requests of all gateways in flight at the endpoint
 };
 
 // An attempt ended. Exactly one follows each SendAttempt.
 struct AttemptEnded {
     RequestId request;
-    int attempt = 0;  // position in its request, from 0
+    int attempt = 0;  // position among the attempts of the request, from 0
     EndpointId endpoint;
     Outcome outcome = Outcome::ok;
     Duration elapsed{};
@@ -85,7 +85,7 @@
     std::optional<LoadReport> loadReport;
 };
 
-// The response of an attempt has begun. The attempt can't be cancelled any more.
+// An attempt's response has begun. The attempt can no longer be cancelled.
 struct StreamStarted {
     RequestId request;
     int attempt = 0;
@@ -98,7 +98,7 @@
     RequestId request;
 };
 
-// A call of AddToCounter ended. The replies for one name come in the order of the calls.
+// A call that AddToCounter requested has ended. The replies for one name arrive in the order of the calls.
 struct CounterReplied {
     std::string name;
     Outcome outcome = Outcome::ok;
@@ -106,7 +106,7 @@
     Duration elapsed{};
 };
 
-// A timer of SetTimer expired.
+// A timer that SetTimer started has expired.
 struct TimerFired {
     TimerId timer{};
 };
--- a/include/gateway/settings.h
+++ b/include/gateway/settings.h
@@ -18,23 +18,23 @@
     none,     // never
 };
 
-// Which endpoints recognize each other's repeats of a request with a key.
+// Which endpoints recognize a repeat of a request by its key when another of them received the request first.
 enum class DeduplicationScope { all, zone, cell };
 
 // The terms under which requests of one class are served.
 struct RequestClass {
     Idempotency idempotency = Idempotency::safe;
     DeduplicationScope deduplicationScope = DeduplicationScope::all;  // for Idempotency::withKey
-    Duration idempotencyWindow{};  // withKey: from the sending of the earliest attempt that may have run
-    Duration latencyObjective{};   // a response within it has its full weight; above 0
-    double latencyObjectiveStretch = 0;  // the objective grows by this multiple of the class's mean work
-    Duration deadline{};                 // longest wait of a client over all its tries; above 0
-    double lateWeight = 0;      // share of the weight that a response has between objective and deadline
-    double priorityWeight = 1;  // value of a response
-    bool streamed = false;      // the response is sent as a stream
+    Duration idempotencyWindow{};  // withKey: begins when the earliest attempt that may have run is sent
+    Duration latencyObjective{};   // a response within it earns the full weight; above 0
+    double latencyObjectiveStretch = 0;  // multiple of the class's mean response time added to the objective
+    Duration deadline{};                 // longest wait of a client, its retries included; above 0
+    double lateWeight = 0;      // share of the weight that a response between objective and deadline earns
+    double priorityWeight = 1;  // weight of a response within the objective
+    bool streamed = false;      // responses are sent as streams
 };
 
-// A quota that tenants hold, and the hard ceiling above it. Costs are in the plan's cost unit.
+// The quota of the tenants with this plan, and a hard ceiling above it. Costs are in the plan's cost unit.
 struct QuotaPlan {
     double rate = 0;         // cost per second; 0: no quota
     double burst = 0;        // cost that may be used at once
@@ -42,12 +42,12 @@
     double ceilingRate = 0;  // cost per second that must never be exceeded; 0: no ceiling
     double ceilingBurst = 0;
     double ceilingSlack = 0;      // cost by which the ceiling's bucket may fall below zero
-    double price = 1;             // factor on the weight of a request, for each unit of cost
+    double price = 1;             // factor of a request's weight, per unit of its cost
     double overQuotaWeight = 0;   // share of its weight that a request beyond the quota earns
-    double overQuotaPenalty = 0;  // share of its weight that a request forwarded beyond the quota costs
+    double overQuotaPenalty = 0;  // share of its weight deducted for forwarding it beyond the quota
 };
 
-// How changes of the endpoint set arrive.
+// How the gateway learns about changes of the endpoint set.
 enum class DiscoveryMode {
     push,  // from an agent on the same machine
     poll,  // from a shared service that is polled
@@ -56,7 +56,7 @@
 // Where endpoints report their load.
 enum class LoadReportSource { inResponses, inHealthChecks, none };
 
-// What all gateways of a fleet share, but for gatewayIndex and zone.
+// The settings of one gateway. All gateways of a fleet have the same ones, except gatewayIndex and zone.
 struct Settings {
     // Precondition of both: the index is in range.
     const RequestClass& requestClass(RequestClassIndex index) const { return classes[toPosition(index)]; }
@@ -75,27 +75,27 @@
     bool healthChecksAllowed = false;
     bool parallelAttemptsAllowed = false;  // a request may have two attempts in flight
     bool retryAfterAllowed = false;        // rejections may carry a Retry-After
-    int maxAttempts = 1;                   // of each request
+    int maxAttempts = 1;                   // for each request
     Duration maxRetryAfter{};
-    Duration connectTimeout{};  // 0: the attempt's timeout
+    Duration connectTimeout{};  // 0: only the attempt's timeout applies
 
     bool counterEnabled = false;  // the counter service may be called
     Duration counterTimeout{};
     double maxRequestCost = 1;
     bool reconciliationEnabled = false;  // costs are estimates; responses report the actual ones
-    Duration usageMeterPeriod{};         // of the usage meter in responses; 0: there is no meter
+    Duration usageMeterPeriod{};         // of the quota usage meter in responses; 0: they have none
 
-    Duration responseSlack{};          // of a final answer, past the client's deadline
-    Duration drainGracePeriod{};       // in which a draining endpoint may still receive attempts
+    Duration responseSlack{};          // time past the client's deadline in which a final answer still counts
+    Duration drainGracePeriod{};       // during which a draining endpoint may still receive attempts
     Duration maxPollInterval{};        // DiscoveryMode::poll: changes count as known after this time
-    double slowStartInitialShare = 1;  // share of its capacity that an endpoint starts with, from 0 to 1
-    Duration slowStartDuration{};      // time until it has its full capacity; 0: none
-    double overloadMultiple = 1;       // an endpoint that is warming up fails under more than this multiple
-    Duration overloadWindow{};         // of its capacity for this long
-    double crossZonePenalty = 0;       // price of one attempt per request that crosses zones
+    double slowStartInitialShare = 1;  // share of its capacity that an endpoint has at its start, from 0 to 1
+    Duration slowStartDuration{};      // time until it has its full capacity; 0: no slow start
+    double overloadMultiple = 1;  // multiple of its capacity above which an endpoint fails while warming up
+    Duration overloadWindow{};    // duration of the excess after which it fails
+    double crossZonePenalty = 0;  // penalty for one attempt per request that crosses zones
 };
 
-// Why settings can't be used.
+// A reason why settings can't be used.
 struct SettingsProblem {
     std::string field;   // for example "plans[0].rate"
     std::string reason;  // for example "must not be negative"
--- a/include/gateway/types.h
+++ b/include/gateway/types.h
@@ -52,10 +52,10 @@
 enum class RequestClassIndex : int {};  // index into Settings::classes
 enum class QuotaPlanIndex : int {};     // index into Settings::plans
 enum class ZoneId : int {};             // index of a zone in the settings
-enum class CellId : int {};             // endpoints of one cell deduplicate requests together
+enum class CellId : int {};             // group of endpoints that deduplicate requests together
 enum class MachineKind : int {};        // index of a kind of machine in the settings
 
-// The position that an index type denotes. Precondition: `index` is not negative.
+// Converts an index type to a position in a list. Precondition: `index` is not negative.
 template <class Index>
 requires std::is_enum_v<Index>
 constexpr std::size_t toPosition(Index index) {
