--- a/src/decision/engine/attempt_dispatcher.cpp
+++ b/src/decision/engine/attempt_dispatcher.cpp
@@ -29,7 +29,7 @@
     limiter_.beginAttempt();
     endpoint.beginAttempt(work);
     const Duration maxSendDelay = retries_.maxSendDelay(request, context.now);
-    context.act(SendAttempt{request.arrival.request, endpoint.entry().id, timeout, maxSendDelay});
+    context.emit(SendAttempt{request.arrival.request, endpoint.entry().id, timeout, maxSendDelay});
     return true;
 }
 
--- a/src/decision/engine/endpoint_watch.cpp
+++ b/src/decision/engine/endpoint_watch.cpp
@@ -26,7 +26,7 @@
 }
 
 void EndpointWatch::onRetryDue(EventContext& context) {
-    context.act(WatchEndpoints{});
+    context.emit(WatchEndpoints{});
 }
 
 void EndpointWatch::scheduleRetry(EventContext& context) const {
@@ -37,7 +37,7 @@
 void EndpointWatch::startOnce(EventContext& context) {
     if (started_) return;
     started_ = true;
-    context.act(WatchEndpoints{});
+    context.emit(WatchEndpoints{});
 }
 
 }  // namespace gateway
--- a/src/decision/engine/event_context.h
+++ b/src/decision/engine/event_context.h
@@ -18,10 +18,10 @@
     RandomSource& random;
     TimerTable& timers;
 
-    void act(Action action) const { actions.push_back(std::move(action)); }
+    void emit(Action action) const { actions.push_back(std::move(action)); }
 
     // Appends the action that starts a timer.
-    void setTimer(const Timer& timer, Duration delay) const { act(timers.start(timer, delay)); }
+    void setTimer(const Timer& timer, Duration delay) const { emit(timers.start(timer, delay)); }
 };
 
 }  // namespace gateway
--- a/src/decision/engine/request_lifecycle.cpp
+++ b/src/decision/engine/request_lifecycle.cpp
@@ -156,9 +156,9 @@
     if (retries_.isClientRetrySafe(request, context.now)) {
         const Duration advice =
             settings_.retryAfterAllowed ? std::min(retryAfter, settings_.maxRetryAfter) : Duration{};
-        context.act(RejectRequest{request.arrival.request, advice});
+        context.emit(RejectRequest{request.arrival.request, advice});
     } else {
-        context.act(FailRequest{request.arrival.request});
+        context.emit(FailRequest{request.arrival.request});
     }
     request.closed = true;
     request.decided = true;
@@ -177,7 +177,7 @@
 void RequestLifecycle::cancelAttempts(EventContext& context, const Request& request) const {
     for (std::size_t i = 0; i < request.attempts.size(); ++i) {
         if (request.attempts[i].ended) continue;
-        context.act(CancelAttempt{request.arrival.request, static_cast<int>(i)});
+        context.emit(CancelAttempt{request.arrival.request, static_cast<int>(i)});
     }
 }
 
--- a/src/decision/quota/counter_ledger.cpp
+++ b/src/decision/quota/counter_ledger.cpp
@@ -45,8 +45,8 @@
 
 void CounterLedger::post(EventContext& context, const Tenant& tenant, const WindowSlice& slice,
                          const CounterCall& call) {
-    context.act(AddToCounter{formatSliceKey({tenant.id, slice.index()}), call.amount(),
-                             counterNameLifetime(usage_.planOf(tenant))});
+    context.emit(AddToCounter{formatSliceKey({tenant.id, slice.index()}), call.amount(),
+                              counterNameLifetime(usage_.planOf(tenant))});
 }
 
 CounterLedger::ReplyResult CounterLedger::onReply(EventContext& context, const CounterReplied& reply) {
