--- a/include/gateway/settings.h
+++ b/include/gateway/settings.h
@@ -11,7 +11,7 @@
 
 namespace gateway {
 
-// Whether a request may be sent again although an earlier attempt may have run.
+// Whether a request may be sent again although an earlier attempt may have been executed.
 enum class Idempotency {
     safe,     // always
     withKey,  // within RequestClass::idempotencyWindow: endpoints recognize repeats with the same key
@@ -25,8 +25,9 @@
 struct RequestClass {
     Idempotency idempotency = Idempotency::safe;
     DeduplicationScope deduplicationScope = DeduplicationScope::all;  // for Idempotency::withKey
-    Duration idempotencyWindow{};  // withKey: begins when the earliest attempt that may have run is sent
-    Duration latencyObjective{};   // a response within it earns the full weight; above 0
+    // For Idempotency::withKey: from the sending of the earliest attempt that may have been executed.
+    Duration idempotencyWindow{};
+    Duration latencyObjective{};         // a response within it earns the full weight; above 0
     double latencyObjectiveStretch = 0;  // multiple of the class's mean response time added to the objective
     Duration deadline{};                 // longest wait of a client, its retries included; above 0
     double lateWeight = 0;      // share of the weight that a response between objective and deadline earns
--- a/src/decision/engine/attempt_dispatcher.cpp
+++ b/src/decision/engine/attempt_dispatcher.cpp
@@ -40,8 +40,9 @@
     limiter_.endAttempt();
     endpoint.endAttempt();
     observe(request, ended, endpoint, now);
-    if (!provesNeverRan(ended.outcome) && !request.possibleRun)
-        request.possibleRun = PossibleRun{endpoint.entry().zone, endpoint.entry().cell, attempt.sentAt};
+    if (!provesNotExecuted(ended.outcome) && !request.possibleExecution)
+        request.possibleExecution =
+            PossibleExecution{endpoint.entry().zone, endpoint.entry().cell, attempt.sentAt};
 }
 
 void AttemptDispatcher::observe(const Request& request, const AttemptEnded& ended, Endpoint& endpoint,
--- a/src/decision/engine/request.cpp
+++ b/src/decision/engine/request.cpp
@@ -4,7 +4,7 @@
 
 namespace gateway {
 
-bool provesNeverRan(Outcome outcome) {
+bool provesNotExecuted(Outcome outcome) {
     switch (outcome) {
         case Outcome::rejected:
         case Outcome::connectFailed:
--- a/src/decision/engine/request.h
+++ b/src/decision/engine/request.h
@@ -12,7 +12,7 @@
 namespace gateway {
 
 // Whether the outcome of an attempt proves that its endpoint did not execute the request.
-bool provesNeverRan(Outcome outcome);
+bool provesNotExecuted(Outcome outcome);
 
 // One sending of a request to an endpoint.
 struct Attempt {
@@ -23,10 +23,10 @@
 
 // The earliest attempt that its endpoint may have executed. A retry with an idempotency key must reach an
 // endpoint that recognizes it as a repeat of this attempt.
-struct PossibleRun {
+struct PossibleExecution {
     ZoneId zone{};
     CellId cell{};
-    TimePoint since{};  // when the attempt was sent
+    TimePoint sentAt{};
 };
 
 // Invariants: attempts are in the order in which they were sent; a closed request gets no further attempt and
@@ -37,7 +37,7 @@
     TimePoint arrivedAt{};
     QuotaCharge charge;
     std::vector<Attempt> attempts;
-    std::optional<PossibleRun> possibleRun;
+    std::optional<PossibleExecution> possibleExecution;
     bool decided = false;          // the quota admitted or rejected it, or its client disconnected first
     bool closed = false;           // it has its final answer, or its client disconnected
     bool streaming = false;        // its response has begun
--- a/src/decision/upstream/endpoint_picker.cpp
+++ b/src/decision/upstream/endpoint_picker.cpp
@@ -71,17 +71,17 @@
 }
 
 // Whether the request may be sent to the endpoint without the risk that it is executed twice. A request that
-// may have run and is not safe to retry needs an endpoint that recognizes its key.
+// may have been executed and is not safe to retry needs an endpoint that recognizes its key.
 bool EndpointPicker::canDeduplicate(const Endpoint& endpoint, const Request& request) const {
     const RequestClass& terms = termsOf(request);
-    if (!request.possibleRun || terms.idempotency == Idempotency::safe) return true;
+    if (!request.possibleExecution || terms.idempotency == Idempotency::safe) return true;
     switch (terms.deduplicationScope) {
         case DeduplicationScope::all:
             return true;
         case DeduplicationScope::zone:
-            return request.possibleRun->zone == endpoint.entry().zone;
+            return request.possibleExecution->zone == endpoint.entry().zone;
         case DeduplicationScope::cell:
-            return request.possibleRun->cell == endpoint.entry().cell;
+            return request.possibleExecution->cell == endpoint.entry().cell;
     }
     return false;
 }
--- a/src/decision/upstream/retry_policy.cpp
+++ b/src/decision/upstream/retry_policy.cpp
@@ -27,28 +27,29 @@
     const double expectedSeconds = latency_.expectedSeconds(request.arrival.requestClass);
     if (toSeconds(latency_.timeLeft(request, now)) < expectedSeconds) return false;
     const bool isSafe = termsOf(request).idempotency == Idempotency::safe;
-    return !request.possibleRun || isSafe || isWithinIdempotencyWindow(request, now);
+    return !request.possibleExecution || isSafe || isWithinIdempotencyWindow(request, now);
 }
 
 bool RetryPolicy::isClientRetrySafe(const Request& request, TimePoint now) const {
     const RequestClass& terms = termsOf(request);
     if (terms.idempotency == Idempotency::safe) return true;
-    if (!request.possibleRun) return !request.hasAttemptInFlight();
+    if (!request.possibleExecution) return !request.hasAttemptInFlight();
     // The client's retry may reach any endpoint, so all endpoints must deduplicate it.
     return terms.deduplicationScope == DeduplicationScope::all && isWithinIdempotencyWindow(request, now);
 }
 
 Duration RetryPolicy::maxSendDelay(const Request& request, TimePoint now) const {
     const RequestClass& terms = termsOf(request);
-    if (!request.possibleRun || terms.idempotency != Idempotency::withKey) return Duration{};
-    return request.possibleRun->since + terms.idempotencyWindow - now;
+    if (!request.possibleExecution || terms.idempotency != Idempotency::withKey) return Duration{};
+    return request.possibleExecution->sentAt + terms.idempotencyWindow - now;
 }
 
-// Whether endpoints still recognize the request's idempotency key. Precondition: the request may have run.
+// Whether endpoints still recognize the request's idempotency key. Precondition: the request may have been
+// executed.
 bool RetryPolicy::isWithinIdempotencyWindow(const Request& request, TimePoint now) const {
     const RequestClass& terms = termsOf(request);
     return terms.idempotency == Idempotency::withKey &&
-           now < request.possibleRun->since + terms.idempotencyWindow;
+           now < request.possibleExecution->sentAt + terms.idempotencyWindow;
 }
 
 const RequestClass& RetryPolicy::termsOf(const Request& request) const {
--- a/tests/decision/engine/request_lifecycle_test.cpp
+++ b/tests/decision/engine/request_lifecycle_test.cpp
@@ -38,11 +38,11 @@
 
 // ---- Retries by idempotency -----------------------------------------------------------------------
 
-TEST_F(RequestLifecycleTest, FailsNonIdempotentRequestOnceItMayHaveRun) {
+TEST_F(RequestLifecycleTest, FailsNonIdempotentRequestOnceItMayHaveBeenExecuted) {
     start(withIdempotency(Idempotency::none));
     engine().request();
     engine().endAttempt(engine().sends[0], 0, Outcome::connectFailed, false);
-    ASSERT_EQ(engine().sends.size(), 2u) << "an attempt that never ran may be retried";
+    ASSERT_EQ(engine().sends.size(), 2u) << "an attempt that was not executed may be retried";
 
     engine().endAttempt(engine().sends[1], 1, Outcome::reset, false);
     EXPECT_EQ(engine().sends.size(), 2u);
@@ -94,7 +94,7 @@
     EXPECT_EQ(engine().sends[2].maxSendDelay, milliseconds(100));
 }
 
-TEST_F(RequestLifecycleTest, DoesNotLimitStartOfRetryWhenNoAttemptMayHaveRun) {
+TEST_F(RequestLifecycleTest, DoesNotLimitStartOfRetryWithoutPossibleExecution) {
     start(keyedWithin(DeduplicationScope::all, milliseconds(400)));
     engine().request();
     EXPECT_EQ(engine().sends.at(0).maxSendDelay, Duration::zero());
--- a/tests/decision/engine/request_table_test.cpp
+++ b/tests/decision/engine/request_table_test.cpp
@@ -50,12 +50,12 @@
     EXPECT_EQ(requests.find(key), nullptr);
 }
 
-TEST(RequestTest, DistinguishesOutcomesThatProveItNeverRan) {
+TEST(RequestTest, DistinguishesOutcomesThatProveNoExecution) {
     for (const Outcome outcome : {Outcome::rejected, Outcome::connectFailed, Outcome::notSent})
-        EXPECT_TRUE(provesNeverRan(outcome));
+        EXPECT_TRUE(provesNotExecuted(outcome));
     for (const Outcome outcome :
          {Outcome::ok, Outcome::error, Outcome::timedOut, Outcome::reset, Outcome::cancelled})
-        EXPECT_FALSE(provesNeverRan(outcome));
+        EXPECT_FALSE(provesNotExecuted(outcome));
 }
 
 }  // namespace
--- a/tests/decision/upstream/endpoint_picker_test.cpp
+++ b/tests/decision/upstream/endpoint_picker_test.cpp
@@ -99,14 +99,14 @@
 class EndpointPickerDeduplicationTest : public EndpointPickerTest,
                                         public testing::WithParamInterface<DeduplicationCase> {
 protected:
-    // Whether a retry of a request that may have run in zone 0 and cell 0 may go to an endpoint in this zone
-    // and cell.
+    // Whether a retry of a request that may have been executed in zone 0 and cell 0 may go to an endpoint in
+    // this zone and cell.
     bool reaches(ZoneId zone, CellId cell) {
         settings.classes[0].idempotency = GetParam().idempotency;
         settings.classes[0].deduplicationScope = GetParam().scope;
         listEndpoints({entry("w0", zone, cell)});
         Request request;
-        request.possibleRun = PossibleRun{ZoneId{0}, CellId{0}, kNow};
+        request.possibleExecution = PossibleExecution{ZoneId{0}, CellId{0}, kNow};
         return pick(request).has_value();
     }
 };
--- a/tests/decision/upstream/retry_policy_test.cpp
+++ b/tests/decision/upstream/retry_policy_test.cpp
@@ -19,9 +19,9 @@
     const char* name;
     Idempotency idempotency;
     DeduplicationScope scope;
-    bool mayHaveRun;
-    Duration sinceRun;  // time since the attempt that may have run was sent
-    bool canRetry;      // by this gateway
+    bool possiblyExecuted;
+    Duration timeSinceSent;  // of the attempt that may have been executed
+    bool canRetry;           // by this gateway
     bool isClientRetrySafe;
 };
 
@@ -35,7 +35,8 @@
     request.arrivedAt = kNow;
     request.arrival.deadline = kNow + seconds(2);
     request.attempts.push_back({0, kNow, true});
-    if (row.mayHaveRun) request.possibleRun = PossibleRun{ZoneId{}, CellId{}, kNow - row.sinceRun};
+    if (row.possiblyExecuted)
+        request.possibleExecution = PossibleExecution{ZoneId{}, CellId{}, kNow - row.timeSinceSent};
     return request;
 }
 
@@ -54,7 +55,7 @@
     RetryPolicy policy{settings, latency};
 };
 
-TEST_P(RetryPolicyClassTest, FollowsIdempotencyOfTheClassAndWhetherTheRequestMayHaveRun) {
+TEST_P(RetryPolicyClassTest, FollowsIdempotencyOfTheClassAndPossibleExecution) {
     const Request request = makeRequest(GetParam());
     EXPECT_EQ(policy.tryAcquireRetry(request, kNow), GetParam().canRetry);
     EXPECT_EQ(policy.isClientRetrySafe(request, kNow), GetParam().isClientRetrySafe);
@@ -65,8 +66,8 @@
 INSTANTIATE_TEST_SUITE_P(
     Classes, RetryPolicyClassTest,
     testing::Values(RetryCase{"Safe", Idempotency::safe, kAll, true, seconds(9), true, true},
-                    RetryCase{"NeverRan", Idempotency::none, kAll, false, {}, true, true},
-                    RetryCase{"MayHaveRun", Idempotency::none, kAll, true, {}, false, false},
+                    RetryCase{"NotExecuted", Idempotency::none, kAll, false, {}, true, true},
+                    RetryCase{"PossiblyExecuted", Idempotency::none, kAll, true, {}, false, false},
                     RetryCase{"KeyWithinWindow", Idempotency::withKey, kAll, true, seconds(4), true, true},
                     RetryCase{"KeyPastWindow", Idempotency::withKey, kAll, true, seconds(5), false, false},
                     RetryCase{"KeyInOneCell", Idempotency::withKey, kCell, true, seconds(4), true, false}),
