--- a/src/decision/engine/decision_engine.cpp
+++ b/src/decision/engine/decision_engine.cpp
@@ -124,7 +124,7 @@
     const std::optional<Timer> timer = timers_.take(id);
     if (!timer) return;
     const Overloaded handler{
-        [&](const CounterWaitOver& due) { lifecycle_.onCounterWaitOver(context, due); },
+        [&](const CounterWaitExpired& due) { lifecycle_.onCounterWaitExpired(context, due); },
         [&](const FlushDue& due) { ledger_.flush(context, due.slice); },
         [&](const DiscoveryRetryDue&) { EndpointWatch::onRetryDue(context); },
     };
--- a/src/decision/engine/request_lifecycle.cpp
+++ b/src/decision/engine/request_lifecycle.cpp
@@ -60,7 +60,7 @@
     const Duration maxWait = std::min(settings_.counterTimeout, untilDeadline / 2);
     const Duration objective = latency_.latencyObjective(request.arrival.requestClass);
     const Duration wait = fromSeconds(toSeconds(objective) * kMaxCounterWaitShare);
-    context.setTimer(CounterWaitOver{request.key}, std::min(maxWait, wait));
+    context.setTimer(CounterWaitExpired{request.key}, std::min(maxWait, wait));
 }
 
 void RequestLifecycle::onCounterReplied(EventContext& context, const CounterReplied& reply) {
@@ -77,7 +77,7 @@
     if (request->charge.pendingReplies <= 0 || !ok) decide(context, *request);
 }
 
-void RequestLifecycle::onCounterWaitOver(EventContext& context, const CounterWaitOver& timer) {
+void RequestLifecycle::onCounterWaitExpired(EventContext& context, const CounterWaitExpired& timer) {
     Request* request = requests_.find(timer.request);
     if (request != nullptr && !request->decided) decide(context, *request);
 }
--- a/src/decision/engine/request_lifecycle.h
+++ b/src/decision/engine/request_lifecycle.h
@@ -44,7 +44,7 @@
     void onCounterReplied(EventContext& context, const CounterReplied& reply);
 
     // Decides on the admission of the request without the counter's replies.
-    void onCounterWaitOver(EventContext& context, const CounterWaitOver& timer);
+    void onCounterWaitExpired(EventContext& context, const CounterWaitExpired& timer);
 
     // Records the outcome, reconciles the actual cost, and retries or answers the request unless it is
     // closed. Ignores an attempt that is not in flight.
--- a/src/decision/engine/timer_table.h
+++ b/src/decision/engine/timer_table.h
@@ -13,7 +13,7 @@
 namespace gateway {
 
 // A request has waited for the counter's replies as long as it may.
-struct CounterWaitOver {
+struct CounterWaitExpired {
     RequestKey request = RequestKey::none;
 };
 
@@ -25,7 +25,7 @@
 // The endpoint watch must be opened again, since discovery could not be reached.
 struct DiscoveryRetryDue {};
 
-using Timer = std::variant<CounterWaitOver, FlushDue, DiscoveryRetryDue>;
+using Timer = std::variant<CounterWaitExpired, FlushDue, DiscoveryRetryDue>;
 
 class TimerTable {
 public:
--- a/tests/decision/engine/timer_table_test.cpp
+++ b/tests/decision/engine/timer_table_test.cpp
@@ -9,12 +9,12 @@
 
 TEST(TimerTableTest, ReturnsTimerOnce) {
     TimerTable timers;
-    const SetTimer action = timers.start(CounterWaitOver{RequestKey{7}}, std::chrono::milliseconds(20));
+    const SetTimer action = timers.start(CounterWaitExpired{RequestKey{7}}, std::chrono::milliseconds(20));
     EXPECT_EQ(action.delay, std::chrono::milliseconds(20));
 
     const auto timer = timers.take(action.timer);
     ASSERT_TRUE(timer);
-    EXPECT_EQ(std::get<CounterWaitOver>(*timer).request, RequestKey{7});
+    EXPECT_EQ(std::get<CounterWaitExpired>(*timer).request, RequestKey{7});
     EXPECT_FALSE(timers.take(action.timer));
 }
 
