--- a/src/decision/engine/attempt_dispatcher.cpp
+++ b/src/decision/engine/attempt_dispatcher.cpp
@@ -49,7 +49,7 @@
                                 TimePoint now) {
     const AttemptSample sample = latency_.observe(request, ended);
     endpoint.observeAttempt(ended, sample, now);
-    stats_.observe(endpoint.load(), endpoints_.listedCount(), now);
+    stats_.observe(endpoint.load(), endpoints_.endpointCount(), now);
     limiter_.observe(sample, ended.outcome);
     slowStart_.observe(endpoint, sample, now);
     if (ended.outcome == Outcome::ok)
--- a/src/decision/engine/endpoint_watch.cpp
+++ b/src/decision/engine/endpoint_watch.cpp
@@ -22,7 +22,7 @@
     }
     if (settings_.discovery == DiscoveryMode::poll) startOnce(context);
     endpoints_.apply(update, context.now);
-    limiter_.initializeLimit(endpoints_.listedCount());
+    limiter_.initializeLimit(endpoints_.endpointCount());
 }
 
 void EndpointWatch::onRetryDue(EventContext& context) {
--- a/src/decision/upstream/endpoint_set.h
+++ b/src/decision/upstream/endpoint_set.h
@@ -37,7 +37,7 @@
     std::span<const Endpoint> slots() const { return endpoints_; }
 
     // Number of endpoints that are listed, draining ones included, or have an attempt in flight.
-    std::size_t listedCount() const { return slotByName_.size(); }
+    std::size_t endpointCount() const { return slotByName_.size(); }
 
     // Capacity of the usable endpoints at the latest selection of the subset.
     const FleetCapacity& capacity() const { return capacity_; }
--- a/tests/decision/upstream/endpoint_set_test.cpp
+++ b/tests/decision/upstream/endpoint_set_test.cpp
@@ -40,14 +40,14 @@
 TEST_F(EndpointSetTest, SnapshotRemovesEndpointsThatItDoesNotList) {
     endpoints.apply(updateOf(UpdateKind::snapshot, {entry("w0"), entry("w1")}), kNow);
     endpoints.apply(updateOf(UpdateKind::snapshot, {entry("w1")}), kNow);
-    EXPECT_EQ(endpoints.listedCount(), 1u);
+    EXPECT_EQ(endpoints.endpointCount(), 1u);
     EXPECT_EQ(usableCount(), 1u);
 }
 
 TEST_F(EndpointSetTest, DeltaKeepsEndpointsThatItDoesNotList) {
     endpoints.apply(updateOf(UpdateKind::snapshot, {entry("w0"), entry("w1")}), kNow);
     endpoints.apply(updateOf(UpdateKind::delta, {entry("w1", Availability::draining)}), kNow);
-    EXPECT_EQ(endpoints.listedCount(), 2u);
+    EXPECT_EQ(endpoints.endpointCount(), 2u);
     EXPECT_EQ(usableCount(), 1u);
 }
 
@@ -68,7 +68,7 @@
     endpoints.apply(updateOf(UpdateKind::snapshot, {entry("w0")}), kNow);
     endpoints.apply(updateOf(UpdateKind::snapshot, {}), kNow);
     EXPECT_EQ(endpoints.slots().size(), 1u);
-    EXPECT_EQ(endpoints.listedCount(), 0u);
+    EXPECT_EQ(endpoints.endpointCount(), 0u);
     EXPECT_EQ(usableCount(), 0u);
 }
 
