--- a/src/decision/engine/request_lifecycle.cpp
+++ b/src/decision/engine/request_lifecycle.cpp
@@ -101,7 +101,7 @@
         return;
     }
     if (!request.reachedEndpoint) ledger_.refundUnsent(context, request);
-    answerUnserved(context, request, expectedTime(request));
+    answerUnserved(context, request, expectedResponseTime(request));
 }
 
 void RequestLifecycle::onStreamStarted(const StreamStarted& started) {
@@ -118,8 +118,8 @@
     Tenant* tenant = tenants_.find(request->arrival.tenant);
     if (tenant != nullptr) --tenant->inFlight;
     attempts_.recordEnd(*request, ended, context.now);
-    recordReached(*request, ended.outcome);
-    settleCost(context, *request, ended, tenant);
+    recordEndpointReached(*request, ended.outcome);
+    recordReportedUsage(context, *request, ended, tenant);
     if (ended.requestClosed) request->closed = true;
 
     if (!request->closed && retries_.tryAcquireRetry(*request, context.now)) {
@@ -130,20 +130,20 @@
     if (request->closed) {
         requests_.eraseIfDone(*request);
     } else {
-        answerUnserved(context, *request, expectedTime(*request));
+        answerUnserved(context, *request, expectedResponseTime(*request));
     }
 }
 
 // A quota charges a request that reached an endpoint. A ceiling also charges one that failed to connect.
-void RequestLifecycle::recordReached(Request& request, Outcome outcome) const {
+void RequestLifecycle::recordEndpointReached(Request& request, Outcome outcome) const {
     const QuotaPlan* plan = planOf(request);
     const bool hasCeiling = plan != nullptr && plan->ceilingRate > 0;
     const bool neverConnected = outcome == Outcome::connectFailed && !hasCeiling;
     if (outcome != Outcome::notSent && !neverConnected) request.reachedEndpoint = true;
 }
 
-void RequestLifecycle::settleCost(EventContext& context, Request& request, const AttemptEnded& ended,
-                                  Tenant* tenant) {
+void RequestLifecycle::recordReportedUsage(EventContext& context, Request& request, const AttemptEnded& ended,
+                                           Tenant* tenant) {
     if (tenant == nullptr) return;
     if (ended.quotaUsagePercent) tenant->usage.recordMeter(*ended.quotaUsagePercent);
     if (ended.actualCost)
@@ -195,7 +195,7 @@
     return toSeconds(request.arrival.deadline - now) >= kMinRemainingTimeShare * expected;
 }
 
-Duration RequestLifecycle::expectedTime(const Request& request) const {
+Duration RequestLifecycle::expectedResponseTime(const Request& request) const {
     return fromSeconds(latency_.expectedSeconds(request.arrival.requestClass));
 }
 
--- a/src/decision/engine/request_lifecycle.h
+++ b/src/decision/engine/request_lifecycle.h
@@ -64,12 +64,13 @@
     void forward(EventContext& context, Request& request);
     void cancelAttempts(EventContext& context, const Request& request) const;
     void refundUndecided(EventContext& context, Request& request);
-    void recordReached(Request& request, Outcome outcome) const;
-    void settleCost(EventContext& context, Request& request, const AttemptEnded& ended, Tenant* tenant);
+    void recordEndpointReached(Request& request, Outcome outcome) const;
+    void recordReportedUsage(EventContext& context, Request& request, const AttemptEnded& ended,
+                             Tenant* tenant);
     void answerUnserved(EventContext& context, Request& request, Duration retryAfter);
 
     bool hasTimeToBeServed(const Request& request, TimePoint now) const;
-    Duration expectedTime(const Request& request) const;
+    Duration expectedResponseTime(const Request& request) const;
     const QuotaPlan* planOf(const Request& request) const;
 
     const Settings& settings_;
