--- a/src/decision/upstream/endpoint_set.cpp
+++ b/src/decision/upstream/endpoint_set.cpp
@@ -34,15 +34,15 @@
 // Frees the slots of removed endpoints. Otherwise the number of slots would grow without bound where
 // endpoints are replaced often, and the picker iterates over every slot for each attempt.
 void EndpointSet::releaseUnusedSlots() {
-    for (auto named = slotByName_.begin(); named != slotByName_.end();) {
-        Endpoint& endpoint = endpoints_[named->second];
+    for (auto iter = slotByName_.begin(); iter != slotByName_.end();) {
+        Endpoint& endpoint = endpoints_[iter->second];
         if (!endpoint.isUnused()) {
-            ++named;
+            ++iter;
             continue;
         }
         endpoint = Endpoint(limiter_.initialEndpointLimit());
-        freeSlots_.push_back(named->second);
-        named = slotByName_.erase(named);
+        freeSlots_.push_back(iter->second);
+        iter = slotByName_.erase(iter);
     }
 }
 
