--- a/tests/support/engine_fixture.cpp
+++ b/tests/support/engine_fixture.cpp
@@ -62,9 +62,9 @@
     Actions actions;
     engine.handle(now, event, actions);
     for (const Action& action : actions) collect(action);
-    while (!answers.empty()) {
-        const CounterReplied reply = answers.front();
-        answers.erase(answers.begin());
+    while (!queuedReplies.empty()) {
+        const CounterReplied reply = queuedReplies.front();
+        queuedReplies.erase(queuedReplies.begin());
         handle(reply);
     }
 }
@@ -89,7 +89,7 @@
     }
     double& total = counts[add.name];
     total += add.amount;
-    answers.push_back({add.name, Outcome::ok, total, {}});
+    queuedReplies.push_back({add.name, Outcome::ok, total, {}});
 }
 
 void EngineFixture::advance(Duration step) {
@@ -103,13 +103,14 @@
     now = until;
 }
 
-std::string EngineFixture::request(double cost, std::uint64_t tenant, Duration patience, int entryPoints) {
+std::string EngineFixture::request(double cost, std::uint64_t tenant, Duration timeToDeadline,
+                                   int entryPoints) {
     RequestArrived arrival;
     arrival.request = RequestId("r" + std::to_string(++requests));
     arrival.tenant = TenantId{tenant};
     arrival.cost = cost;
     arrival.entryPoints = entryPoints;
-    arrival.deadline = now + patience;
+    arrival.deadline = now + timeToDeadline;
     handle(arrival);
     return arrival.request.value();
 }
--- a/tests/support/engine_fixture.h
+++ b/tests/support/engine_fixture.h
@@ -31,9 +31,9 @@
 
     void advance(Duration step);
 
-    // Sends a request and returns its id. `patience`: from now to the client's deadline.
-    std::string request(double cost = 1, std::uint64_t tenant = 5, Duration patience = milliseconds(2500),
-                        int entryPoints = 2);
+    // Sends a request and returns its id. `timeToDeadline`: from now to the deadline of the client.
+    std::string request(double cost = 1, std::uint64_t tenant = 5,
+                        Duration timeToDeadline = milliseconds(2500), int entryPoints = 2);
 
     // Reports the end of an attempt that took 50 ms.
     void endAttempt(const SendAttempt& send, int attempt, Outcome outcome, bool requestClosed,
@@ -52,8 +52,8 @@
     int addCount = 0;
     int requests = 0;
     std::map<std::string, double> counts;
-    std::vector<CounterReplied> answers;
-    std::vector<AddToCounter> unansweredAdds;  // adds that the counter service has not replied to
+    std::vector<CounterReplied> queuedReplies;  // delivered to the engine after the present event
+    std::vector<AddToCounter> unansweredAdds;   // adds that the counter service has not replied to
     std::multimap<TimePoint, TimerId> timers;
     std::vector<SendAttempt> sends;
     std::vector<RejectRequest> rejections;
