--- a/tests/decision/upstream/slow_start_fleet_test.cpp
+++ b/tests/decision/upstream/slow_start_fleet_test.cpp
@@ -15,8 +15,8 @@
     static constexpr double kMinUsedShare = 0.5;  // of the work that the endpoints can serve, at full load
 
     // Runs the scenario with each of its seeds.
-    static OverloadTally playAllSeeds(const FleetScenario& scenario) {
-        OverloadTally sum;
+    static OverloadStats runAllSeeds(const FleetScenario& scenario) {
+        OverloadStats sum;
         for (int seed = 1; seed <= scenario.seedCount; ++seed)
             sum.add(SlowStartFleet(scenario, static_cast<std::uint64_t>(seed)).run());
         return sum;
@@ -26,24 +26,26 @@
         return static_cast<double>(part) / static_cast<double>(whole);
     }
 
-    static void print(const FleetScenario& scenario, const OverloadTally& tally) {
+    static void print(const FleetScenario& scenario, const OverloadStats& stats) {
         std::printf(
-            "%-32s windows %7ld over bound %.5f (by initial capacity %.5f) fullest %.2f of allowance, "
-            "%.2f of bound (%.2f) received %.3f of possible work, served %.4f of requests\n",
-            scenario.name, tally.windows, ratio(tally.windowsOverBound, tally.windows),
-            ratio(tally.windowsOverInitialBound, tally.windows), tally.maxShareOfAllowance,
-            tally.maxShareOfBound, tally.maxShareOfInitialBound, tally.receivedWork / tally.possibleWork,
-            ratio(tally.served, tally.requested));
+            "%-32s %7ld windows, share over bound %.5f (over initial bound %.5f), max work %.2f of "
+            "allowance, "
+            "%.2f of bound (%.2f of initial bound), received %.3f of possible work, served %.4f of "
+            "requests\n",
+            scenario.name, stats.windows, ratio(stats.windowsOverBound, stats.windows),
+            ratio(stats.windowsOverInitialBound, stats.windows), stats.maxShareOfAllowance,
+            stats.maxShareOfBound, stats.maxShareOfInitialBound, stats.receivedWork / stats.possibleWork,
+            ratio(stats.served, stats.requested));
     }
 };
 
 TEST_P(SlowStartFleetTest, KeepsEveryWindowWithinTheBoundAndUsesEndpointsThatAreWarmingUp) {
     const FleetScenario& scenario = GetParam();
-    const OverloadTally tally = playAllSeeds(scenario);
-    print(scenario, tally);
-    EXPECT_GT(tally.windows, 0);
-    EXPECT_EQ(tally.windowsOverBound, 0);
-    EXPECT_GE(tally.receivedWork / tally.possibleWork, kMinUsedShare * std::min(scenario.load, 1.0));
+    const OverloadStats stats = runAllSeeds(scenario);
+    print(scenario, stats);
+    EXPECT_GT(stats.windows, 0);
+    EXPECT_EQ(stats.windowsOverBound, 0);
+    EXPECT_GE(stats.receivedWork / stats.possibleWork, kMinUsedShare * std::min(scenario.load, 1.0));
 }
 
 // The names state the kind of load or change and the number of gateways.
--- a/tests/support/slow_start_fleet.cpp
+++ b/tests/support/slow_start_fleet.cpp
@@ -56,7 +56,7 @@
     return out << scenario.name;
 }
 
-void OverloadTally::add(const OverloadTally& other) {
+void OverloadStats::add(const OverloadStats& other) {
     windows += other.windows;
     windowsOverBound += other.windowsOverBound;
     windowsOverInitialBound += other.windowsOverInitialBound;
@@ -74,7 +74,7 @@
     for (int i = 0; i < scenario_.endpointCount; ++i)
         startEndpoint("s" + paddedNumber(static_cast<std::size_t>(i)), TimePoint{});
     std::vector<EndpointEntry> entries;
-    for (const StandInEndpoint& endpoint : endpoints_) entries.push_back(endpoint.entry);
+    for (const SimulatedEndpoint& endpoint : endpoints_) entries.push_back(endpoint.entry);
     for (int i = 0; i < scenario_.gatewayCount; ++i) {
         gateways_.emplace_back();
         gateways_.back().knownEndpoints = entries;
@@ -83,11 +83,11 @@
     scheduleChanges();
 }
 
-OverloadTally SlowStartFleet::run() {
-    schedule(kOrigin, [this] { arriveRequest(); });
+OverloadStats SlowStartFleet::run() {
+    schedule(kOrigin, [this] { generateRequest(); });
     runEventsUntil(kOrigin + kSettlingTime + kReplacementTime + settings_.slowStartDuration);
-    for (const StandInEndpoint& endpoint : endpoints_) tally_.possibleWork += possibleWork(endpoint);
-    return tally_;
+    for (const SimulatedEndpoint& endpoint : endpoints_) stats_.possibleWork += possibleWork(endpoint);
+    return stats_;
 }
 
 bool SlowStartFleet::ScheduledEvent::operator<(const ScheduledEvent& other) const {
@@ -118,7 +118,7 @@
 }
 
 std::size_t SlowStartFleet::startEndpoint(const std::string& name, TimePoint startedAt) {
-    StandInEndpoint endpoint;
+    SimulatedEndpoint endpoint;
     endpoint.entry.id = EndpointId(name);
     endpoint.entry.startedAt = startedAt;
     endpointByName_[endpoint.entry.id] = endpoints_.size();
@@ -139,15 +139,15 @@
     const EndpointEntry entry = endpoints_[endpoint].entry;
     for (std::size_t gateway = 0; gateway < gateways_.size(); ++gateway) {
         const Duration delay(drawBelow(static_cast<std::size_t>(kMaxAnnouncementDelay.count())));
-        schedule(now_ + delay, [this, gateway, endpoint, entry] { learnEntry(gateway, endpoint, entry); });
+        schedule(now_ + delay, [this, gateway, endpoint, entry] { deliverEntry(gateway, endpoint, entry); });
     }
 }
 
-void SlowStartFleet::learnEntry(std::size_t gateway, std::size_t endpoint, const EndpointEntry& entry) {
+void SlowStartFleet::deliverEntry(std::size_t gateway, std::size_t endpoint, const EndpointEntry& entry) {
     gateways_[gateway].knownEndpoints[endpoint] = entry;
     EndpointUpdate update;
     update.entries = {entry};
-    feed(gateway, update);
+    handleEvent(gateway, update);
 }
 
 void SlowStartFleet::drainEndpoint(std::size_t endpoint) {
@@ -169,8 +169,8 @@
         const Duration offset = kReplacementTime * static_cast<int>(position) / static_cast<int>(count);
         return kOrigin + kSettlingTime + offset;
     };
-    const std::size_t replaced = endpointShare(scenario_.replacedShare);
-    const std::size_t drained = std::min(endpointShare(scenario_.drainedShare), order.size() - replaced);
+    const std::size_t replaced = endpointCountFor(scenario_.replacedShare);
+    const std::size_t drained = std::min(endpointCountFor(scenario_.drainedShare), order.size() - replaced);
     const double sameName = scenario_.sameNameShare * static_cast<double>(replaced);
     for (std::size_t i = 0; i < replaced; ++i)
         scheduleReplacement(order[i], timeOf(i, replaced), i, static_cast<double>(i) < sameName);
@@ -201,7 +201,7 @@
     }
 }
 
-std::size_t SlowStartFleet::endpointShare(double share) const {
+std::size_t SlowStartFleet::endpointCountFor(double share) const {
     return static_cast<std::size_t>(std::llround(share * static_cast<double>(scenario_.endpointCount)));
 }
 
@@ -215,31 +215,31 @@
     list.kind = UpdateKind::cached;
     for (const EndpointEntry& entry : gateway.knownEndpoints)
         if (entry.availability != Availability::removed) list.entries.push_back(entry);
-    feed(index, list);
+    handleEvent(index, list);
 }
 
-void SlowStartFleet::feed(std::size_t gateway, const Event& event) {
+void SlowStartFleet::handleEvent(std::size_t gateway, const Event& event) {
     Actions actions;
     gateways_[gateway].engine->handle(now_, event, actions);
     for (const Action& action : actions) {
         if (const auto* send = std::get_if<SendAttempt>(&action))
             receiveAttempt(gateway, *send);
         else if (const auto* rejection = std::get_if<RejectRequest>(&action))
-            repeatRejected(std::stoul(rejection->request.value()));
+            retryRejected(std::stoul(rejection->request.value()));
     }
 }
 
 // Requests arrive as a Poisson process.
-void SlowStartFleet::arriveRequest() {
+void SlowStartFleet::generateRequest() {
     const bool isInitial = now_ < kOrigin + kSettlingTime + kReplacementTime;
     const double loadShare = isInitial ? scenario_.initialLoadShare : 1;
     const double rate = scenario_.load * scenario_.endpointCount * warmCapacity() * loadShare;
-    schedule(now_ + fromSeconds(-std::log(1 - drawFraction()) / rate), [this] { arriveRequest(); });
+    schedule(now_ + fromSeconds(-std::log(1 - drawFraction()) / rate), [this] { generateRequest(); });
     ClientRequest request;
     request.requestClass = drawFraction() < kHeavyShare ? 1 : 0;
     request.work = (request.requestClass == 1 ? kHeavyWork : kLightWork) * (0.5 + drawFraction());
     request.isMeasured = now_ >= kOrigin + kSettlingTime;
-    if (request.isMeasured) ++tally_.requested;
+    if (request.isMeasured) ++stats_.requested;
     sendRequest(request);
 }
 
@@ -252,14 +252,14 @@
     arrival.requestClass = RequestClassIndex{request.requestClass};
     arrival.deadline = request.deadline;
     requests_.push_back(request);
-    feed(gateway, arrival);
+    handleEvent(gateway, arrival);
 }
 
 // The client of a rejected request retries it once, through a random gateway.
-void SlowStartFleet::repeatRejected(std::size_t rejected) {
+void SlowStartFleet::retryRejected(std::size_t rejected) {
     ClientRequest request = requests_[rejected];
-    if (request.isRepeated) return;
-    request.isRepeated = true;
+    if (request.isRetry) return;
+    request.isRetry = true;
     request.attempts = 0;
     schedule(now_ + kClientRetryDelay, [this, request] { sendRequest(request); });
 }
--- a/tests/support/slow_start_fleet.h
+++ b/tests/support/slow_start_fleet.h
@@ -43,7 +43,7 @@
 // Statistics on the attempts that endpoints received while warming up. A window has the length of the
 // settings' overload window and ends when such an endpoint receives an attempt. Its allowance is the work
 // that the settings' overload multiple allows; its bound adds a margin for random variation to the allowance.
-struct OverloadTally {
+struct OverloadStats {
     long windows = 0;
     long windowsOverBound = 0;
     long windowsOverInitialBound = 0;   // the bound by the endpoint's capacity when the window begins
@@ -55,7 +55,7 @@
     long requested = 0;                 // requests since the first replacement
     long served = 0;                    // how many of these were served
 
-    void add(const OverloadTally& other);
+    void add(const OverloadStats& other);
 };
 
 // Runs one scenario. The scenario and the seed determine the result.
@@ -64,7 +64,7 @@
     SlowStartFleet(const FleetScenario& scenario, std::uint64_t seed);
 
     // Runs the scenario to its end. May be called once only.
-    OverloadTally run();
+    OverloadStats run();
 
 private:
     // One attempt at an endpoint.
@@ -77,7 +77,7 @@
         TimePoint sentAt{};
         bool ended = false;  // the gateway has received its outcome
     };
-    struct StandInEndpoint {
+    struct SimulatedEndpoint {
         EndpointEntry entry;
         TimePoint drainsAt = TimePoint::max();
         int busyCores = 0;
@@ -95,7 +95,7 @@
         double work = 1;  // in requests of mean work
         TimePoint deadline{};
         int attempts = 0;
-        bool isRepeated = false;
+        bool isRetry = false;
         bool isMeasured = false;
     };
     struct ScheduledEvent {
@@ -114,34 +114,34 @@
 
     // Capacity of a warm endpoint, in requests of mean work per second.
     double warmCapacity() const;
-    double capacityShareAt(const StandInEndpoint& endpoint, TimePoint when) const;
-    double possibleWork(const StandInEndpoint& endpoint) const;
+    double capacityShareAt(const SimulatedEndpoint& endpoint, TimePoint when) const;
+    double possibleWork(const SimulatedEndpoint& endpoint) const;
 
     // Changes of endpoints and gateways.
     std::size_t startEndpoint(const std::string& name, TimePoint startedAt);
     void startAndAnnounce(const std::string& name);
     void announce(std::size_t endpoint);
-    void learnEntry(std::size_t gateway, std::size_t endpoint, const EndpointEntry& entry);
+    void deliverEntry(std::size_t gateway, std::size_t endpoint, const EndpointEntry& entry);
     void drainEndpoint(std::size_t endpoint);
     void scheduleChanges();
     void scheduleReplacement(std::size_t endpoint, TimePoint when, std::size_t number, bool keepsName);
     void scheduleGatewayRestarts();
-    std::size_t endpointShare(double share) const;
+    std::size_t endpointCountFor(double share) const;
 
     void startGateway(std::size_t index);
-    void feed(std::size_t gateway, const Event& event);
+    void handleEvent(std::size_t gateway, const Event& event);
 
     // Clients.
-    void arriveRequest();
+    void generateRequest();
     void sendRequest(ClientRequest request);
-    void repeatRejected(std::size_t rejected);
+    void retryRejected(std::size_t rejected);
 
     // Endpoints.
     void receiveAttempt(std::size_t gateway, const SendAttempt& send);
     void beginWork(std::size_t attempt);
     void finishWork(std::size_t attempt);
     void endAttempt(std::size_t index, Outcome outcome);
-    void countWindow(StandInEndpoint& endpoint, double work);
+    void evaluateWindow(SimulatedEndpoint& endpoint, double work);
 
     FleetScenario scenario_;
     Settings settings_;
@@ -149,13 +149,13 @@
     TimePoint now_;
     std::uint64_t nextOrder_ = 0;
     std::priority_queue<ScheduledEvent> events_;
-    std::deque<StandInEndpoint> endpoints_;
+    std::deque<SimulatedEndpoint> endpoints_;
     // The latest endpoint of each name.
     std::unordered_map<EndpointId, std::size_t> endpointByName_;
     std::vector<Gateway> gateways_;
     std::deque<ClientRequest> requests_;
     std::deque<Attempt> attempts_;
-    OverloadTally tally_;
+    OverloadStats stats_;
 };
 
 }  // namespace gateway
--- a/tests/support/slow_start_fleet_endpoints.cpp
+++ b/tests/support/slow_start_fleet_endpoints.cpp
@@ -17,7 +17,7 @@
     return scenario_.coresPerEndpoint / scenario_.meanWorkSeconds;
 }
 
-double SlowStartFleet::capacityShareAt(const StandInEndpoint& endpoint, TimePoint when) const {
+double SlowStartFleet::capacityShareAt(const SimulatedEndpoint& endpoint, TimePoint when) const {
     if (endpoint.entry.startedAt == TimePoint{}) return 1;
     const double age = toSeconds(when - endpoint.entry.startedAt) / toSeconds(settings_.slowStartDuration);
     return settings_.slowStartInitialShare +
@@ -25,7 +25,7 @@
 }
 
 // Work that the endpoint could have served while it was warming up, in requests of mean work.
-double SlowStartFleet::possibleWork(const StandInEndpoint& endpoint) const {
+double SlowStartFleet::possibleWork(const SimulatedEndpoint& endpoint) const {
     const TimePoint startedAt = endpoint.entry.startedAt;
     const double from = secondsSinceEpoch(startedAt);
     const double until =
@@ -38,8 +38,8 @@
 void SlowStartFleet::receiveAttempt(std::size_t gateway, const SendAttempt& send) {
     const std::size_t request = std::stoul(send.request.value());
     const std::size_t endpointIndex = endpointByName_.at(send.endpoint);
-    StandInEndpoint& endpoint = endpoints_[endpointIndex];
-    countWindow(endpoint, requests_[request].work);
+    SimulatedEndpoint& endpoint = endpoints_[endpointIndex];
+    evaluateWindow(endpoint, requests_[request].work);
     const std::size_t attempt = attempts_.size();
     const int number = requests_[request].attempts;
     ++requests_[request].attempts;
@@ -57,7 +57,7 @@
 }
 
 void SlowStartFleet::beginWork(std::size_t attempt) {
-    StandInEndpoint& endpoint = endpoints_[attempts_[attempt].endpoint];
+    SimulatedEndpoint& endpoint = endpoints_[attempts_[attempt].endpoint];
     ++endpoint.busyCores;
     const double work = requests_[attempts_[attempt].request].work;
     const double workSeconds = work * scenario_.meanWorkSeconds / capacityShareAt(endpoint, now_);
@@ -66,7 +66,7 @@
 
 void SlowStartFleet::finishWork(std::size_t attempt) {
     endAttempt(attempt, Outcome::ok);
-    StandInEndpoint& endpoint = endpoints_[attempts_[attempt].endpoint];
+    SimulatedEndpoint& endpoint = endpoints_[attempts_[attempt].endpoint];
     --endpoint.busyCores;
     while (!endpoint.queue.empty() && endpoint.busyCores < scenario_.coresPerEndpoint) {
         const std::size_t next = endpoint.queue.front();
@@ -80,9 +80,9 @@
     if (attempt.ended) return;
     attempt.ended = true;
     const ClientRequest& request = requests_[attempt.request];
-    if (outcome == Outcome::ok && request.isMeasured) ++tally_.served;
+    if (outcome == Outcome::ok && request.isMeasured) ++stats_.served;
     if (gateways_[attempt.gateway].run != attempt.gatewayRun) return;  // the gateway has restarted
-    const StandInEndpoint& endpoint = endpoints_[attempt.endpoint];
+    const SimulatedEndpoint& endpoint = endpoints_[attempt.endpoint];
     AttemptEnded ended;
     ended.request = RequestId(std::to_string(attempt.request));
     ended.attempt = attempt.number;
@@ -94,14 +94,14 @@
         ended.loadReport.emplace();
         ended.loadReport->inFlight = endpoint.busyCores + static_cast<double>(endpoint.queue.size());
     }
-    feed(attempt.gateway, ended);
+    handleEvent(attempt.gateway, ended);
 }
 
 // Evaluates the window that ends now, when the endpoint receives an attempt, if the endpoint is warming up.
-void SlowStartFleet::countWindow(StandInEndpoint& endpoint, double work) {
+void SlowStartFleet::evaluateWindow(SimulatedEndpoint& endpoint, double work) {
     const double share = capacityShareAt(endpoint, now_);
     if (share >= 1) return;
-    if (now_ < endpoint.drainsAt) tally_.receivedWork += work;
+    if (now_ < endpoint.drainsAt) stats_.receivedWork += work;
     endpoint.windowAttempts.emplace_back(now_, work);
     endpoint.windowWork += work;
     const TimePoint begin = now_ - settings_.overloadWindow;
@@ -117,13 +117,13 @@
     const double allowance = allowanceOf(share);
     const double bound = boundOf(allowance);
     const double initialBound = boundOf(allowanceOf(capacityShareAt(endpoint, begin)));
-    ++tally_.windows;
-    if (endpoint.windowWork > bound) ++tally_.windowsOverBound;
-    if (endpoint.windowWork > initialBound) ++tally_.windowsOverInitialBound;
-    tally_.maxShareOfAllowance = std::max(tally_.maxShareOfAllowance, endpoint.windowWork / allowance);
-    tally_.maxShareOfBound = std::max(tally_.maxShareOfBound, endpoint.windowWork / bound);
-    tally_.maxShareOfInitialBound =
-        std::max(tally_.maxShareOfInitialBound, endpoint.windowWork / initialBound);
+    ++stats_.windows;
+    if (endpoint.windowWork > bound) ++stats_.windowsOverBound;
+    if (endpoint.windowWork > initialBound) ++stats_.windowsOverInitialBound;
+    stats_.maxShareOfAllowance = std::max(stats_.maxShareOfAllowance, endpoint.windowWork / allowance);
+    stats_.maxShareOfBound = std::max(stats_.maxShareOfBound, endpoint.windowWork / bound);
+    stats_.maxShareOfInitialBound =
+        std::max(stats_.maxShareOfInitialBound, endpoint.windowWork / initialBound);
 }
 
 }  // namespace gateway
