--- a/tests/decision/engine/decision_engine_test.cpp
+++ b/tests/decision/engine/decision_engine_test.cpp
@@ -86,7 +86,7 @@
                     FleetCase{5000, 40, true}, FleetCase{5000, 9000, false}, FleetCase{5000, 9000, true}),
     [](const auto& row) { return describe(row.param); });
 
-TEST(DecisionEngineTest, DecidesAlikeForSameSeedAndEvents) {
+TEST(DecisionEngineTest, MakesSameDecisionsForSameSeedAndEvents) {
     constexpr std::uint64_t kTenants = 30;
     EngineFixture first(plainSettings());
     EngineFixture second(plainSettings());
--- a/tests/decision/upstream/concurrency_limiter_test.cpp
+++ b/tests/decision/upstream/concurrency_limiter_test.cpp
@@ -67,14 +67,14 @@
     EXPECT_EQ(measureCapacity(), 0);
 }
 
-TEST_F(ConcurrencyLimiterTest, StartsWithItsShareOfTheEndpointsAndKeepsTheLimitOnLaterLists) {
+TEST_F(ConcurrencyLimiterTest, StartsWithShareOfEndpointsAndKeepsLimitOnLaterLists) {
     limiter.initializeLimit(kEndpoints);
     EXPECT_NEAR(measureCapacity(), 32, 1);
     limiter.initializeLimit(100 * kEndpoints);
     EXPECT_NEAR(measureCapacity(), 32, 1);
 }
 
-TEST_F(ConcurrencyLimiterTest, LowersLimitOnSlowResponsesAndRaisesItOnFastOnesOnlyWhileItIsUsed) {
+TEST_F(ConcurrencyLimiterTest, LowersLimitOnSlowResponsesAndRaisesItOnlyWhileItIsUsed) {
     limiter.initializeLimit(kEndpoints);
     observeServed(kSlowResponseObjectiveShare, 20);
     const int lowered = measureCapacity();
@@ -111,7 +111,7 @@
 // Tests the limiter within the decision engine.
 class ConcurrencyLimiterEngineTest : public UpstreamEngineTest {};
 
-TEST_F(ConcurrencyLimiterEngineTest, AdmitsRequestsWhileSomeEndpointsAreUnresponsiveAndOthersFast) {
+TEST_F(ConcurrencyLimiterEngineTest, AdmitsRequestsWhileSomeEndpointsAreUnresponsive) {
     Settings settings = plainSettings();
     settings.plans[0].rate = 1e6;
     settings.plans[0].burst = 1e6;
--- a/tests/decision/upstream/endpoint_load_test.cpp
+++ b/tests/decision/upstream/endpoint_load_test.cpp
@@ -18,19 +18,19 @@
     return sample;
 }
 
-TEST(EndpointLoadTest, EstimatesRemoteAttemptsFromReportsWithoutOwnOnes) {
+TEST(EndpointLoadTest, EstimatesRemoteAttemptsAsReportedMinusOwnAttempts) {
     EndpointLoad load;
     for (int i = 0; i < 50; ++i) load.recordReport(12, 2);
     EXPECT_NEAR(load.remoteInFlight(), 10, 0.01);
 }
 
-TEST(EndpointLoadTest, KeepsTheRemoteEstimateNonNegativeWhenAReportIsOlderThanOwnAttempts) {
+TEST(EndpointLoadTest, KeepsRemoteEstimateNonNegativeWhenReportPredatesOwnAttempts) {
     EndpointLoad load;
     load.recordReport(1, 5);
     EXPECT_EQ(load.remoteInFlight(), 0);
 }
 
-TEST(EndpointLoadTest, BoundsTheSlownessThatOneSampleCanCause) {
+TEST(EndpointLoadTest, BoundsTheSlownessOfASample) {
     EndpointLoad load;
     for (int i = 0; i < 200; ++i) load.recordAttempt(responseSample(1000), kNow);
     EXPECT_NEAR(load.slowness(), 10, 0.01);
--- a/tests/decision/upstream/endpoint_set_test.cpp
+++ b/tests/decision/upstream/endpoint_set_test.cpp
@@ -82,7 +82,7 @@
     EXPECT_TRUE(endpoints.capacity().hasWarmEndpoint());
 }
 
-TEST_F(EndpointSetTest, EjectedEndpointIsNoAvailableWarmOne) {
+TEST_F(EndpointSetTest, EjectedEndpointIsNotAnAvailableWarmEndpoint) {
     endpoints.apply(updateOf(UpdateKind::snapshot, {entry("w0")}), kNow);
     EXPECT_TRUE(endpoints.hasAvailableWarmEndpoint(kNow));
     AttemptEnded unreachable;
@@ -94,7 +94,7 @@
 // Tests the set within the decision engine.
 class EndpointSetEngineTest : public UpstreamEngineTest {};
 
-TEST_F(EndpointSetEngineTest, SendsNothingToADrainingEndpointAtOnce) {
+TEST_F(EndpointSetEngineTest, StopsSendingToDrainingEndpointAtOnce) {
     start(plainSettings(), 2);
     changeEndpoints({entry("w0", Availability::draining)});
     sendRequests(5);
@@ -106,7 +106,7 @@
     EXPECT_EQ(attempt->endpoint.value(), "w0");
 }
 
-TEST_F(EndpointSetEngineTest, RequestWithKeyStaysInItsCellAfterItsEndpointsSlotIsTaken) {
+TEST_F(EndpointSetEngineTest, RequestWithKeyStaysInItsCellAfterItsSlotIsReused) {
     Settings settings = plainSettings();
     settings.classes[0].idempotency = Idempotency::withKey;
     settings.classes[0].deduplicationScope = DeduplicationScope::cell;
--- a/tests/decision/upstream/endpoint_subset_test.cpp
+++ b/tests/decision/upstream/endpoint_subset_test.cpp
@@ -46,7 +46,7 @@
     for (const Endpoint& endpoint : endpoints) EXPECT_EQ(endpoint.subsetShare(), 1);
 }
 
-TEST_F(EndpointSubsetTest, ContainsItsShareOfWarmEndpointsAndOfThoseWarmingUp) {
+TEST_F(EndpointSubsetTest, ContainsSameShareOfWarmAndWarmingUpEndpoints) {
     std::vector<Endpoint> endpoints = makeEndpoints(40);
     EndpointSubset subset(settingsOf(100));
     subset.select(endpoints, ringOf(endpoints, 0, 30), ringOf(endpoints, 30, 40), kStart);
@@ -145,7 +145,7 @@
     }
 };
 
-TEST_F(EndpointSubsetFleetTest, EachGatewayUsesAFewEndpointsAndEachEndpointHasSimilarlyManyGateways) {
+TEST_F(EndpointSubsetFleetTest, UsesFewEndpointsPerGatewayAndSimilarGatewaysPerEndpoint) {
     std::map<EndpointId, int> gatewaysByEndpoint;
     for (int gateway = 0; gateway < kGateways; ++gateway) {
         const std::set<EndpointId> used = endpointsUsed(gateway, Outcome::ok);
--- a/tests/decision/upstream/latency_stats_test.cpp
+++ b/tests/decision/upstream/latency_stats_test.cpp
@@ -50,7 +50,7 @@
     EXPECT_DOUBLE_EQ(latency.relativeWork(kHeavy), 1.5);
 }
 
-TEST_F(LatencyStatsTest, SampleTellsSlowResponsesFromFastOnes) {
+TEST_F(LatencyStatsTest, SampleDistinguishesSlowFromFastResponses) {
     EXPECT_FALSE(observe(kLight, Outcome::ok, milliseconds(360)).slow);
     const AttemptSample slow = observe(kLight, Outcome::ok, milliseconds(361));
     EXPECT_TRUE(slow.slow);
@@ -70,7 +70,7 @@
     EXPECT_EQ(latency.timeLeft(request, now), milliseconds(2500));
 }
 
-TEST_F(LatencyStatsTest, ObjectiveStretchesWithTheExpectedTimeUpToTheDeadline) {
+TEST_F(LatencyStatsTest, ObjectiveGrowsWithExpectedResponseTimeUpToDeadline) {
     settings.classes[0].latencyObjectiveStretch = 2;
     EXPECT_EQ(latency.latencyObjective(kLight), milliseconds(750));
     settings.classes[0].latencyObjectiveStretch = 1000;
--- a/tests/decision/upstream/outlier_detector_test.cpp
+++ b/tests/decision/upstream/outlier_detector_test.cpp
@@ -35,7 +35,7 @@
     EXPECT_TRUE(detector.isEjected(0, kNow));
 }
 
-TEST_F(OutlierDetectorTest, IgnoresTimeoutsAndAttemptsThatTheGatewayGaveUp) {
+TEST_F(OutlierDetectorTest, IgnoresTimeoutsAndAttemptsCancelledOrNotSent) {
     for (int i = 0; i < 50; ++i)
         for (const Outcome outcome : {Outcome::timedOut, Outcome::cancelled, Outcome::notSent})
             detector.observe(outcome, kNow);
--- a/tests/decision/upstream/retry_policy_test.cpp
+++ b/tests/decision/upstream/retry_policy_test.cpp
@@ -91,7 +91,7 @@
     EXPECT_FALSE(policy.tryAcquireRetry(request, kNow));
 }
 
-TEST_F(RetryPolicyTest, SavesNoMoreThanTheMaxBudget) {
+TEST_F(RetryPolicyTest, KeepsBudgetWithinItsMaximum) {
     const Request request = makeRequest(kSafe);
     for (int i = 0; i < 1000; ++i) policy.recordFirstAttempt();
     for (int i = 0; i < 10; ++i) EXPECT_TRUE(policy.tryAcquireRetry(request, kNow));
@@ -110,7 +110,7 @@
     EXPECT_FALSE(policy.tryAcquireRetry(request, kNow));
 }
 
-TEST_F(RetryPolicyTest, RejectsRetryPastTheMaxAttempts) {
+TEST_F(RetryPolicyTest, RejectsRetryBeyondMaxAttempts) {
     Request request = makeRequest(kSafe);
     request.attempts.resize(static_cast<std::size_t>(settings.maxAttempts), {0, kNow, true});
     EXPECT_FALSE(policy.tryAcquireRetry(request, kNow));
--- a/tests/decision/upstream/slow_start_fleet_test.cpp
+++ b/tests/decision/upstream/slow_start_fleet_test.cpp
@@ -28,10 +28,9 @@
 
     static void print(const FleetScenario& scenario, const OverloadStats& stats) {
         std::printf(
-            "%-32s %7ld windows, share over bound %.5f (over initial bound %.5f), max work %.2f of "
-            "allowance, "
-            "%.2f of bound (%.2f of initial bound), received %.3f of possible work, served %.4f of "
-            "requests\n",
+            "%-32s %7ld windows, share over bound %.5f (over initial bound %.5f), "
+            "max work %.2f of allowance, %.2f of bound (%.2f of initial bound), "
+            "received %.3f of possible work, served %.4f of requests\n",
             scenario.name, stats.windows, ratio(stats.windowsOverBound, stats.windows),
             ratio(stats.windowsOverInitialBound, stats.windows), stats.maxShareOfAllowance,
             stats.maxShareOfBound, stats.maxShareOfInitialBound, stats.receivedWork / stats.possibleWork,
@@ -39,7 +38,7 @@
     }
 };
 
-TEST_P(SlowStartFleetTest, KeepsEveryWindowWithinTheBoundAndUsesEndpointsThatAreWarmingUp) {
+TEST_P(SlowStartFleetTest, KeepsWindowsWithinBoundAndUsesEndpointsThatAreWarmingUp) {
     const FleetScenario& scenario = GetParam();
     const OverloadStats stats = runAllSeeds(scenario);
     print(scenario, stats);
--- a/tests/decision/upstream/slow_start_test.cpp
+++ b/tests/decision/upstream/slow_start_test.cpp
@@ -70,7 +70,7 @@
     EXPECT_DOUBLE_EQ(endpoint.slowStartTokens().tokens(), 0.5);  // its share of the capacity is 0.25 of 1.25
 }
 
-TEST_F(SlowStartTest, AskingWhetherAnAttemptIsAllowedChangesNothing) {
+TEST_F(SlowStartTest, MayReceiveAttemptChangesNothing) {
     slowStart.recordServed(endpoint, 100, kStart);
     EXPECT_FALSE(SlowStart::mayReceiveAttempt(endpoint, kInitialShare));
     EXPECT_EQ(endpoint.slowStartTokens().tokens(), 0);
@@ -78,7 +78,7 @@
     EXPECT_TRUE(SlowStart::mayReceiveAttempt(endpoint, kInitialShare));
 }
 
-TEST_F(SlowStartTest, EndpointOutsideTheSubsetEarnsNothing) {
+TEST_F(SlowStartTest, EndpointOutsideTheSubsetAccruesNoTokens) {
     slowStart.recordServed(endpoint, 100, kStart);
     endpoint.setSubsetShare(0);
     slowStart.accrueTokens(endpoint, kInitialShare, fleet());
@@ -87,7 +87,7 @@
     EXPECT_EQ(endpoint.slowStartTokens().tokens(), 0);
 }
 
-TEST_F(SlowStartTest, UnservedWorkCountsHalfOnlyAfterATimeWithoutSuccess) {
+TEST_F(SlowStartTest, CreditsHalfOfUnservedWorkAfterATimeWithoutServedRequest) {
     slowStart.recordServed(warmEndpoint, 1, kStart);
     slowStart.recordUnserved(2, kStart + milliseconds(125));  // an eighth of the overload window
     slowStart.accrueTokens(endpoint, kInitialShare, fleet());
--- a/tests/decision/upstream/slow_start_tokens_test.cpp
+++ b/tests/decision/upstream/slow_start_tokens_test.cpp
@@ -35,13 +35,13 @@
     EXPECT_DOUBLE_EQ(tokens.tokens(), 0.5);
 }
 
-TEST_F(SlowStartTokensTest, SavesNoMoreThanTheMaximum) {
+TEST_F(SlowStartTokensTest, KeepsTokensWithinTheirMaximum) {
     SlowStartTokens tokens;
     tokens.accrue(1000, kEndpointCapacity, kFleetCapacity);
     EXPECT_EQ(tokens.tokens(), 1.5);
 }
 
-TEST_F(SlowStartTokensTest, CostlyAttemptLeavesADebtThatLaterWorkRepays) {
+TEST_F(SlowStartTokensTest, CostlyAttemptLeavesNegativeBalanceThatLaterWorkRestores) {
     SlowStartTokens tokens;
     tokens.start(1, 0);
     tokens.spend(2);
