--- a/tests/decision/upstream/slow_start_fleet_test.cpp
+++ b/tests/decision/upstream/slow_start_fleet_test.cpp
@@ -1,4 +1,4 @@
-// What all gateways together send to endpoints that are warming up stays within the settings.
+// Tests that all gateways together send no more to endpoints that are warming up than the settings allow.
 #include "support/slow_start_fleet.h"
 
 #include <gtest/gtest.h>
@@ -12,11 +12,11 @@
 
 class SlowStartFleetTest : public testing::TestWithParam<FleetScenario> {
 protected:
-    static constexpr double kMinUsedShare = 0.5;  // of the possible work, at full load
+    static constexpr double kMinUsedShare = 0.5;  // of the work that the endpoints can serve, at full load
 
-    // Plays the scenario with each of its seeds.
-    static OverloadTally playAllSeeds(const FleetScenario& scenario) {
-        OverloadTally sum;
+    // Runs the scenario with each of its seeds.
+    static OverloadStats runAllSeeds(const FleetScenario& scenario) {
+        OverloadStats sum;
         for (int seed = 1; seed <= scenario.seedCount; ++seed)
             sum.add(SlowStartFleet(scenario, static_cast<std::uint64_t>(seed)).run());
         return sum;
@@ -26,27 +26,29 @@
         return static_cast<double>(part) / static_cast<double>(whole);
     }
 
-    static void print(const FleetScenario& scenario, const OverloadTally& tally) {
+    static void print(const FleetScenario& scenario, const OverloadStats& stats) {
         std::printf(
-            "%-32s windows %7ld over bound %.5f (by initial capacity %.5f) fullest %.2f of allowance, "
-            "%.2f of bound (%.2f) received %.3f of possible work, served %.4f of requests\n",
-            scenario.name, tally.windows, ratio(tally.windowsOverBound, tally.windows),
-            ratio(tally.windowsOverInitialBound, tally.windows), tally.maxShareOfAllowance,
-            tally.maxShareOfBound, tally.maxShareOfInitialBound, tally.receivedWork / tally.possibleWork,
-            ratio(tally.served, tally.requested));
+            "%-32s %7ld windows, share over bound %.5f (over initial bound %.5f), max work %.2f of "
+            "allowance, "
+            "%.2f of bound (%.2f of initial bound), received %.3f of possible work, served %.4f of "
+            "requests\n",
+            scenario.name, stats.windows, ratio(stats.windowsOverBound, stats.windows),
+            ratio(stats.windowsOverInitialBound, stats.windows), stats.maxShareOfAllowance,
+            stats.maxShareOfBound, stats.maxShareOfInitialBound, stats.receivedWork / stats.possibleWork,
+            ratio(stats.served, stats.requested));
     }
 };
 
 TEST_P(SlowStartFleetTest, KeepsEveryWindowWithinTheBoundAndUsesEndpointsThatAreWarmingUp) {
     const FleetScenario& scenario = GetParam();
-    const OverloadTally tally = playAllSeeds(scenario);
-    print(scenario, tally);
-    EXPECT_GT(tally.windows, 0);
-    EXPECT_EQ(tally.windowsOverBound, 0);
-    EXPECT_GE(tally.receivedWork / tally.possibleWork, kMinUsedShare * std::min(scenario.load, 1.0));
+    const OverloadStats stats = runAllSeeds(scenario);
+    print(scenario, stats);
+    EXPECT_GT(stats.windows, 0);
+    EXPECT_EQ(stats.windowsOverBound, 0);
+    EXPECT_GE(stats.receivedWork / stats.possibleWork, kMinUsedShare * std::min(scenario.load, 1.0));
 }
 
-// One row for each scenario; its first line has the size and the load of the fleet.
+// The names state the kind of load or change and the number of gateways.
 // clang-format off
 const FleetScenario kScenarios[] = {
     // High traffic.
@@ -68,7 +70,7 @@
      .meanWorkSeconds = 0.05, .load = 1.5, .seedCount = 1},
     {.name = "ManyEndpoints300BusyLoad", .gatewayCount = 300, .endpointCount = 200, .coresPerEndpoint = 2,
      .meanWorkSeconds = 0.1, .load = 0.8, .seedCount = 1},
-    // Low traffic: each gateway receives less than one request a second.
+    // Low traffic: each gateway receives less than one request per second.
     {.name = "LowTraffic20", .gatewayCount = 20, .endpointCount = 12, .coresPerEndpoint = 1,
      .meanWorkSeconds = 0.5, .load = 0.66, .seedCount = 12},
     {.name = "LowTraffic30", .gatewayCount = 30, .endpointCount = 12, .coresPerEndpoint = 1,
@@ -115,7 +117,7 @@
     {.name = "AllReplaced300LowTrafficOverload", .gatewayCount = 300, .endpointCount = 12,
      .coresPerEndpoint = 2, .meanWorkSeconds = 0.08, .load = 1.5, .replacedShare = 1,
      .restartedShare = 0.25, .seedCount = 3},
-    // The load rises from low to an overload when the last endpoint is replaced.
+    // The load rises from low to an overload once all replacements have begun.
     {.name = "LoadSurge30", .gatewayCount = 30, .endpointCount = 12, .coresPerEndpoint = 4,
      .meanWorkSeconds = 0.05, .load = 1.2, .initialLoadShare = 0.2},
     {.name = "LoadSurge300", .gatewayCount = 300, .endpointCount = 40, .coresPerEndpoint = 4,
