--- a/src/decision/quota/counter_ledger.cpp
+++ b/src/decision/quota/counter_ledger.cpp
@@ -61,7 +61,7 @@
     result.slicePosition = static_cast<std::size_t>(slice - tenant->slices.data());
     const CounterCall call = slice->endOldestCall();
     result.reader = call.reader();
-    if (!wasCounted(reply.outcome)) slice->withdraw(call);
+    if (!wasCounted(reply.outcome)) slice->rollBack(call);
     if (result.ok) applyTotal(*tenant, *slice, call, reply.total, context.now);
     if (result.ok && call.reader() != RequestKey::none) carryDebt(context, *tenant, *slice);
     Request* request = requests_.find(call.request());
@@ -96,7 +96,7 @@
 // A total below the cost that this gateway has posted shows that the counter lost counts. With
 // reconciliation, refunds by other gateways lower the total too, so the threshold is higher.
 double CounterLedger::lostCost(const QuotaPlan& plan, const CounterCall& call, double total) const {
-    const double shortage = call.postedUpToHere() - total;
+    const double shortage = call.cumulativePosted() - total;
     const double minLost = settings_.reconciliationEnabled
                                ? std::max(settings_.maxRequestCost, kMinLostBurstShare * plan.burst)
                                : kMinLostCost;
@@ -110,7 +110,7 @@
     WindowSlice* closed = findSlice(tenant, previousSlice(request.charge.sliceIndex));
     if (closed == nullptr || !shouldReadClosedSlice(tenant, *closed, context.now)) return;
     const bool openedSlice =
-        call.postedUpToHere() == call.charge() && reply.total <= call.charge() + kOpeningCostMargin;
+        call.cumulativePosted() == call.charge() && reply.total <= call.charge() + kOpeningCostMargin;
     if (!openedSlice) return;
     post(context, tenant, *closed, closed->beginReadCall(request.key));
     ++request.charge.pendingReplies;
--- a/src/decision/quota/window_slice.cpp
+++ b/src/decision/quota/window_slice.cpp
@@ -35,8 +35,8 @@
     call.amount_ = call.charge_ + call.carriedCharge_ - call.carriedRefund_;
     postedRefund_ += call.carriedRefund_;
     posted_ += call.amount_;
-    call.refundedUpToHere_ = postedRefund_;
-    call.postedUpToHere_ = posted_;
+    call.cumulativeRefund_ = postedRefund_;
+    call.cumulativePosted_ = posted_;
     return calls_.emplace_back(call);
 }
 
@@ -52,14 +52,14 @@
     return nullptr;
 }
 
-void WindowSlice::withdraw(const CounterCall& call) {
+void WindowSlice::rollBack(const CounterCall& call) {
     posted_ -= call.amount_;
     pendingCharge_ += call.carriedCharge_;
     pendingRefund_ += call.carriedRefund_;
     postedRefund_ -= call.carriedRefund_;
     for (CounterCall& later : calls_) {
-        later.postedUpToHere_ -= call.amount_;
-        later.refundedUpToHere_ -= call.carriedRefund_;
+        later.cumulativePosted_ -= call.amount_;
+        later.cumulativeRefund_ -= call.carriedRefund_;
     }
     // A decision made before the reply assumed that the counter would include the charge.
     if (call.admission_ == Admission::admitted) pendingCharge_ += call.charge_;
@@ -75,14 +75,14 @@
         admittedSinceTotal_ += later.carriedCharge_;
         if (later.admission_ == Admission::admitted) admittedSinceTotal_ += later.charge_;
     }
-    total_ = reported.sum + reported.lost - (refunds_ - call.refundedUpToHere_);
+    total_ = reported.sum + reported.lost - (refunds_ - call.cumulativeRefund_);
     hasTotal_ = true;
     totalReportedAt_ = reported.reportedAt;
     remoteSinceTotal_ = reported.estimatedRemote;
     // total_ already includes the lost cost, so the cost is pending but not part of admittedSinceTotal_.
     pendingCharge_ += reported.lost;
     posted_ -= reported.lost;
-    for (CounterCall& later : calls_) later.postedUpToHere_ -= reported.lost;
+    for (CounterCall& later : calls_) later.cumulativePosted_ -= reported.lost;
 }
 
 void WindowSlice::recordAdmitted(RequestKey request, const QuotaCharge& charge, double cost) {
--- a/src/decision/quota/window_slice.h
+++ b/src/decision/quota/window_slice.h
@@ -37,7 +37,7 @@
     // carriedUnconfirmed() and, if request() was admitted before the reply, its cost.
     double unconfirmed() const { return unconfirmed_; }
     // All cost posted under the slice's name by this gateway, up to and including this call.
-    double postedUpToHere() const { return postedUpToHere_; }
+    double cumulativePosted() const { return cumulativePosted_; }
 
 private:
     friend class WindowSlice;
@@ -49,10 +49,10 @@
     Admission admission_ = Admission::pending;
     double carriedCharge_ = 0;     // pending charge that this call posts
     double carriedRefund_ = 0;     // pending refunds that this call posts
-    double refundedUpToHere_ = 0;  // all refunds posted under the slice's name, up to and including this call
+    double cumulativeRefund_ = 0;  // all refunds posted under the slice's name, up to and including this call
     double carriedUnconfirmed_ = 0;
     double unconfirmed_ = 0;
-    double postedUpToHere_ = 0;
+    double cumulativePosted_ = 0;
 };
 
 // A slice's total as a counter reply reports it.
@@ -79,11 +79,11 @@
 //
 // Cost is pending, in flight or on the counter. posted() + pendingCharge() - pendingRefund() changes only by
 // the charge of a request, a refund, a reconciliation, carried debt or the sampling of a pending charge. A
-// call that begins, a call that is withdrawn and a reported loss only move cost between the three terms.
+// call that begins, a call that is rolled back and a reported loss only move cost between the three terms.
 //
 // refunds() == pendingRefund() + postedRefund().
 //
-// Calls end in the order in which they began. The newest call in flight has postedUpToHere() == posted().
+// Calls end in the order in which they began. The newest call in flight has cumulativePosted() == posted().
 class WindowSlice {
 public:
     // `debt`: the known debt of the preceding slice.
@@ -145,7 +145,7 @@
     // Reverses an ended call that the counter did not count: the amounts that it carried become pending
     // again. The charge of its request becomes pending if the request was admitted, and is no longer refunded
     // if the request was rejected.
-    void withdraw(const CounterCall& call);
+    void rollBack(const CounterCall& call);
 
     // Applies the total that the counter reported in reply to the ended `call`. Lost cost becomes pending
     // again.
--- a/tests/decision/quota/window_slice_test.cpp
+++ b/tests/decision/quota/window_slice_test.cpp
@@ -61,7 +61,7 @@
     addPendingRefund(2);
     const CounterCall& call = slice.beginChargeCall(kFirst, 5);
     EXPECT_EQ(call.amount(), 5 + 3 - 2);
-    EXPECT_EQ(call.postedUpToHere(), 6);
+    EXPECT_EQ(call.cumulativePosted(), 6);
     EXPECT_EQ(slice.postedRefund(), 2);
     EXPECT_FALSE(slice.hasPending());
     expectInvariants();
@@ -72,17 +72,17 @@
     slice.beginChargeCall(kFirst, 5);
     slice.beginChargeCall(kSecond, 7);
     slice.recordAdmitted(kFirst, unpostedCharge(5), 5);
-    slice.withdraw(slice.endOldestCall());
+    slice.rollBack(slice.endOldestCall());
     EXPECT_EQ(slice.pendingCharge(), 3 + 5);
     EXPECT_EQ(slice.posted(), 7);
-    EXPECT_EQ(slice.endOldestCall().postedUpToHere(), 7);
+    EXPECT_EQ(slice.endOldestCall().cumulativePosted(), 7);
     expectInvariants();
 }
 
 TEST_F(WindowSliceTest, UncountedRejectedChargeNeedsNoRefund) {
     slice.beginChargeCall(kFirst, 5);
     ASSERT_TRUE(slice.refundRejected(kFirst, unpostedCharge(5)));
-    slice.withdraw(slice.endOldestCall());
+    slice.rollBack(slice.endOldestCall());
     EXPECT_EQ(slice.pendingRefund(), 0);
     EXPECT_EQ(slice.refunds(), 0);
     expectInvariants();
@@ -146,7 +146,7 @@
     const double before = balance();
     slice.beginFlushCall();
     EXPECT_DOUBLE_EQ(balance(), before);
-    slice.withdraw(slice.endOldestCall());
+    slice.rollBack(slice.endOldestCall());
     EXPECT_DOUBLE_EQ(balance(), before);
     EXPECT_EQ(slice.pendingCharge(), 3);
     EXPECT_EQ(slice.pendingRefund(), 2);
@@ -157,7 +157,7 @@
     slice.beginChargeCall(kFirst, 5);
     slice.recordAdmitted(kFirst, unpostedCharge(5), 5);
     EXPECT_EQ(balance(), 5);
-    slice.withdraw(slice.endOldestCall());
+    slice.rollBack(slice.endOldestCall());
     EXPECT_EQ(balance(), 5);
     EXPECT_EQ(slice.ownAdmitted(), 5);
     expectInvariants();
@@ -173,7 +173,7 @@
     EXPECT_EQ(slice.admittedSinceTotal(), 0);
     EXPECT_EQ(balance(), before);
     EXPECT_EQ(slice.posted(), 12 - 4);
-    EXPECT_EQ(slice.endOldestCall().postedUpToHere(), slice.posted());
+    EXPECT_EQ(slice.endOldestCall().cumulativePosted(), slice.posted());
     expectInvariants();
 }
 
