--- a/src/decision/quota/counter_ledger.cpp
+++ b/src/decision/quota/counter_ledger.cpp
@@ -78,7 +78,7 @@
     if (tenant == nullptr || !result.slicePosition || !result.ok) return;
     if (*result.slicePosition >= tenant->slices.size()) return;
     WindowSlice& slice = tenant->slices[*result.slicePosition];
-    if (slice.hasPending()) scheduleFlush(context, *tenant, slice);
+    if (slice.hasPendingAmounts()) scheduleFlush(context, *tenant, slice);
 }
 
 void CounterLedger::applyTotal(Tenant& tenant, WindowSlice& slice, const CounterCall& call, double total,
@@ -187,7 +187,7 @@
     if (slice == nullptr) return;
     slice->setFlushScheduled(false);
     // While the counter is unavailable, the amounts stay pending until the next call for the slice.
-    if (!slice->hasPending() || sampler_.isUnavailable()) return;
+    if (!slice->hasPendingAmounts() || sampler_.isUnavailable()) return;
     if (shouldSampleReconciliations(*tenant, *slice)) {
         const bool sampled = samplePendingCharge(context, *slice);
         if (!sampled) return;
--- a/src/decision/quota/tenant_usage.cpp
+++ b/src/decision/quota/tenant_usage.cpp
@@ -31,9 +31,9 @@
 
 void TenantUsage::recordClosedSlice(const WindowSlice& slice) {
     if (!slice.hasTotal()) return;
-    const double own = slice.ownAdmitted();
-    closedLocalCost_ = closedLocalCost_ * kClosedSliceRetainedShare + own;
-    closedTotalCost_ = closedTotalCost_ * kClosedSliceRetainedShare + std::max(own, slice.total());
+    const double localCost = slice.localAdmitted();
+    closedLocalCost_ = closedLocalCost_ * kClosedSliceRetainedShare + localCost;
+    closedTotalCost_ = closedTotalCost_ * kClosedSliceRetainedShare + std::max(localCost, slice.total());
 }
 
 void TenantUsage::recordMeter(double percent) {
--- a/src/decision/quota/window_slice.cpp
+++ b/src/decision/quota/window_slice.cpp
@@ -86,7 +86,7 @@
 }
 
 void WindowSlice::recordAdmitted(RequestKey request, const QuotaCharge& charge, double cost) {
-    ownAdmitted_ += cost;
+    localAdmitted_ += cost;
     CounterCall* call = findCall(request);
     if (call != nullptr) {
         call->admission_ = Admission::admitted;
@@ -112,7 +112,7 @@
 }
 
 void WindowSlice::refundAdmitted(const QuotaCharge& charge, double cost) {
-    ownAdmitted_ -= cost;
+    localAdmitted_ -= cost;
     addRefund(charge);
     if (!charge.confirmed && !charge.posted) pendingUnconfirmed_ = std::max(0.0, pendingUnconfirmed_ - cost);
 }
@@ -124,7 +124,7 @@
 }
 
 void WindowSlice::reconcile(double difference) {
-    ownAdmitted_ += difference;
+    localAdmitted_ += difference;
     pendingCharge_ += difference;
     admittedSinceTotal_ += difference;
 }
--- a/src/decision/quota/window_slice.h
+++ b/src/decision/quota/window_slice.h
@@ -106,7 +106,7 @@
     // Estimated cost that the other gateways admitted and total() does not include yet.
     double remoteSinceTotal() const { return remoteSinceTotal_; }
     // All cost that this gateway admitted.
-    double ownAdmitted() const { return ownAdmitted_; }
+    double localAdmitted() const { return localAdmitted_; }
     // Capacity beyond the burst that has expired unused.
     double expiredBurst() const { return expiredBurst_; }
 
@@ -128,7 +128,7 @@
     double postedRefund() const { return postedRefund_; }
     // All cost in flight or on the counter, less the posted refunds.
     double posted() const { return posted_; }
-    bool hasPending() const { return pendingCharge_ != 0 || pendingRefund_ != 0; }
+    bool hasPendingAmounts() const { return pendingCharge_ != 0 || pendingRefund_ != 0; }
     // Whether any call has posted the charge of a request to this slice.
     bool hasChargeCalls() const { return hasChargeCalls_; }
     bool hasCallInFlight() const { return !calls_.empty(); }
@@ -194,7 +194,7 @@
     double admittedSinceTotal_ = 0;
     double remoteSinceTotal_ = 0;
     TimePoint totalReportedAt_{};
-    double ownAdmitted_ = 0;
+    double localAdmitted_ = 0;
     double expiredBurst_ = 0;
     bool hasTotal_ = false;
     bool hasCarriedDebt_ = false;
--- a/tests/decision/quota/tenant_usage_test.cpp
+++ b/tests/decision/quota/tenant_usage_test.cpp
@@ -18,9 +18,9 @@
     return plan;
 }
 
-WindowSlice sliceWithTotal(double ownAdmitted, double total) {
+WindowSlice sliceWithTotal(double localAdmitted, double total) {
     WindowSlice slice(SliceIndex{7});
-    slice.reconcile(ownAdmitted);
+    slice.reconcile(localAdmitted);
     slice.beginFlushCall();
     slice.applyTotal(slice.endOldestCall(), {.sum = total, .reportedAt = kNow});
     return slice;
@@ -53,7 +53,7 @@
     EXPECT_EQ(usage.closedTotalCost(), 0);
 }
 
-TEST_F(TenantUsageTest, CountsAtLeastItsOwnCostInAClosedSlice) {
+TEST_F(TenantUsageTest, CountsAtLeastTheLocalCostInAClosedSlice) {
     usage.recordClosedSlice(sliceWithTotal(4, 1));
     EXPECT_DOUBLE_EQ(usage.closedTotalCost(), 4);
 }
--- a/tests/decision/quota/usage_estimator_test.cpp
+++ b/tests/decision/quota/usage_estimator_test.cpp
@@ -17,9 +17,9 @@
         settings.counterEnabled = true;
     }
 
-    void recordClosedSlice(double ownAdmitted, double total) {
+    void recordClosedSlice(double localAdmitted, double total) {
         WindowSlice slice(SliceIndex{7});
-        slice.reconcile(ownAdmitted);
+        slice.reconcile(localAdmitted);
         slice.beginFlushCall();
         slice.applyTotal(slice.endOldestCall(), {.sum = total});
         tenant.usage.recordClosedSlice(slice);
--- a/tests/decision/quota/window_slice_test.cpp
+++ b/tests/decision/quota/window_slice_test.cpp
@@ -38,7 +38,7 @@
     // Checks the invariants of WindowSlice, except for the calls in flight.
     void expectInvariants() const {
         EXPECT_DOUBLE_EQ(slice.refunds(), slice.pendingRefund() + slice.postedRefund());
-        EXPECT_EQ(slice.hasPending(), slice.pendingCharge() != 0 || slice.pendingRefund() != 0);
+        EXPECT_EQ(slice.hasPendingAmounts(), slice.pendingCharge() != 0 || slice.pendingRefund() != 0);
     }
 
     // Adds cost to the pending charge by a request that was admitted without a call, and to the pending
@@ -63,7 +63,7 @@
     EXPECT_EQ(call.amount(), 5 + 3 - 2);
     EXPECT_EQ(call.cumulativePosted(), 6);
     EXPECT_EQ(slice.postedRefund(), 2);
-    EXPECT_FALSE(slice.hasPending());
+    EXPECT_FALSE(slice.hasPendingAmounts());
     expectInvariants();
 }
 
@@ -105,7 +105,7 @@
 TEST_F(WindowSliceTest, RefundsNoChargeWithoutACallInFlight) {
     slice.beginChargeCall(kFirst, 5);
     EXPECT_FALSE(slice.refundRejected(kSecond, unpostedCharge(5)));
-    EXPECT_FALSE(slice.hasPending());
+    EXPECT_FALSE(slice.hasPendingAmounts());
     EXPECT_EQ(slice.endOldestCall().admission(), Admission::pending);
     expectInvariants();
 }
@@ -159,7 +159,7 @@
     EXPECT_EQ(balance(), 5);
     slice.rollBack(slice.endOldestCall());
     EXPECT_EQ(balance(), 5);
-    EXPECT_EQ(slice.ownAdmitted(), 5);
+    EXPECT_EQ(slice.localAdmitted(), 5);
     expectInvariants();
 }
 
@@ -181,7 +181,7 @@
     slice.reconcile(-3);
     EXPECT_EQ(slice.pendingCharge(), -3);
     EXPECT_EQ(slice.admittedSinceTotal(), -3);
-    EXPECT_EQ(slice.ownAdmitted(), -3);
+    EXPECT_EQ(slice.localAdmitted(), -3);
     EXPECT_EQ(slice.total(), 0);
 }
 
@@ -197,7 +197,7 @@
     slice.weightPendingCharge(0.25);
     EXPECT_EQ(slice.pendingCharge(), 12);
     slice.dropPendingCharge();
-    EXPECT_FALSE(slice.hasPending());
+    EXPECT_FALSE(slice.hasPendingAmounts());
 }
 
 TEST_F(WindowSliceTest, BurstExpiresOnlyAfterATotalAndNeverReturns) {
@@ -243,8 +243,8 @@
     charge.posted = GetParam().posted;
     charge.coveredBySamples = GetParam().coveredBySamples;
     slice.recordAdmitted(kFirst, charge, 5);
-    EXPECT_EQ(slice.ownAdmitted(), 5);
-    EXPECT_FALSE(slice.hasPending());
+    EXPECT_EQ(slice.localAdmitted(), 5);
+    EXPECT_FALSE(slice.hasPendingAmounts());
 }
 
 INSTANTIATE_TEST_SUITE_P(Charges, CoveredChargeTest,
