--- a/src/decision/quota/counter_ledger.cpp
+++ b/src/decision/quota/counter_ledger.cpp
@@ -20,14 +20,14 @@
 // Whether the counter has counted a call, or most likely has. A congested counter still processes calls that
 // have timed out, and posting such a call again could exhaust the tenant's quota. If the call was lost after
 // all, the next total is lower than the posted cost.
-bool wasCounted(Outcome outcome) {
+bool isLikelyCounted(Outcome outcome) {
     return outcome == Outcome::ok || outcome == Outcome::timedOut || outcome == Outcome::reset;
 }
 
 // Records the outcome of the call that posted the request's charge.
 void recordChargeReply(Request& request, Outcome outcome) {
     QuotaCharge& charge = request.charge;
-    charge.posted = wasCounted(outcome);
+    charge.posted = isLikelyCounted(outcome);
     charge.confirmed = outcome == Outcome::ok;
     // A call that was not counted covers no unsampled requests, so the sample weight no longer applies.
     if (!charge.posted) charge.amount = request.arrival.cost;
@@ -61,7 +61,7 @@
     result.slicePosition = static_cast<std::size_t>(slice - tenant->slices.data());
     const CounterCall call = slice->endOldestCall();
     result.reader = call.reader();
-    if (!wasCounted(reply.outcome)) slice->rollBack(call);
+    if (!isLikelyCounted(reply.outcome)) slice->rollBack(call);
     if (result.ok) applyTotal(*tenant, *slice, call, reply.total, context.now);
     if (result.ok && call.reader() != RequestKey::none) carryDebt(context, *tenant, *slice);
     Request* request = requests_.find(call.request());
--- a/src/decision/quota/counter_sampler.cpp
+++ b/src/decision/quota/counter_sampler.cpp
@@ -26,10 +26,10 @@
 }  // namespace
 
 void CounterSampler::recordReply(const CounterReplied& reply, TimePoint now) {
-    const Duration idle = now - repliedAt_;
-    repliedAt_ = now;
+    const Duration idle = now - lastCallEndedAt_;
+    lastCallEndedAt_ = now;
     if (reply.outcome == Outcome::ok) {
-        recordTotal(reply.elapsed, idle);
+        recordSuccess(reply.elapsed, idle);
         return;
     }
     // A single broken connection or malformed reply does not indicate congestion.
@@ -44,7 +44,7 @@
     ++consecutiveFailures_;
 }
 
-void CounterSampler::recordTotal(Duration elapsed, Duration idle) {
+void CounterSampler::recordSuccess(Duration elapsed, Duration idle) {
     const double timeoutShare = toSeconds(elapsed) / toSeconds(std::max(counterTimeout_, kMinTimeout));
     quickestReplyShare_ = std::min(quickestReplyShare_, timeoutShare);
     if (isUnavailable()) sampleRate_ = std::max(sampleRate_, sampleRateBeforeFailures_ / 2);
--- a/src/decision/quota/counter_sampler.h
+++ b/src/decision/quota/counter_sampler.h
@@ -44,7 +44,7 @@
 
 private:
     void recordFailure();
-    void recordTotal(Duration elapsed, Duration idle);
+    void recordSuccess(Duration elapsed, Duration idle);
 
     Duration counterTimeout_;
     double sampleRate_ = 1;  // mean share of the requests that call the counter
@@ -52,7 +52,7 @@
     double quickestReplyShare_ = 1;  // time of the quickest reply, as a share of the timeout
     double meanReplyValue_ = 0;
     int consecutiveFailures_ = 0;
-    TimePoint repliedAt_{};
+    TimePoint lastCallEndedAt_{};
 };
 
 }  // namespace gateway
