--- a/src/decision/quota/quota_admission.cpp
+++ b/src/decision/quota/quota_admission.cpp
@@ -20,7 +20,7 @@
 constexpr double kMaxSampleWeight = 2;
 constexpr double kMaxLowTrafficSampleWeight = 8;
 
-constexpr double kRejectedReplySmoothing = 0.02;
+constexpr double kRejectingReplySmoothing = 0.02;
 
 // Parameters of the probability of unconfirmed admissions: the exponent of its decrease beyond the limit of
 // the metered utilization, and the reduction of that limit if over-quota requests cost their full weight.
@@ -134,9 +134,9 @@
     }
     if (!charge.confirmed && usage_.hasLowLocalTraffic(tenant)) {
         const double draw = context.random.next();
-        if (draw >= unconfirmedProbability(tenant, plan)) return false;
+        if (draw >= unconfirmedAdmissionProbability(tenant, plan)) return false;
     }
-    if (plan.concurrency > 0 && !fitsConcurrency(tenant, plan)) return false;
+    if (plan.concurrency > 0 && !isWithinConcurrencyLimit(tenant, plan)) return false;
     const bool isUnconfirmed = !charge.confirmed || slice == nullptr;
     if (!isUnconfirmed || plan.ceilingRate <= 0) return true;
     charge.consumedCeilingTokens =
@@ -162,13 +162,13 @@
                                           TimePoint now) {
     if (charge.confirmed) {
         tenant.rejectedAt = fits ? TimePoint{} : now;
-        double& rejectedShare = rejectedReplyShares_[toPosition(tenant.plan)];
-        rejectedShare = movingAverage(rejectedShare, fits ? 0 : 1, kRejectedReplySmoothing);
+        double& rejectingShare = rejectingReplyShares_[toPosition(tenant.plan)];
+        rejectingShare = movingAverage(rejectingShare, fits ? 0 : 1, kRejectingReplySmoothing);
     }
     if (tenant.rejectedAt == now) tenant.usage.recordExhausted();
 }
 
-bool QuotaAdmission::fitsConcurrency(const Tenant& tenant, const QuotaPlan& plan) const {
+bool QuotaAdmission::isWithinConcurrencyLimit(const Tenant& tenant, const QuotaPlan& plan) const {
     const double share = std::floor(plan.concurrency * usage_.trafficShare(tenant));
     return tenant.inFlight < std::max(1.0, share);
 }
@@ -178,11 +178,11 @@
 // quota. The probability therefore starts to decrease at a utilization below 1; the more an over-quota
 // request costs, the lower this limit is. Without a meter, the probability decreases with the share of
 // replies that left no quota.
-double QuotaAdmission::unconfirmedProbability(const Tenant& tenant, const QuotaPlan& plan) const {
-    const double loss = std::clamp(plan.overQuotaPenalty - plan.overQuotaWeight, 0.0, 1.0);
+double QuotaAdmission::unconfirmedAdmissionProbability(const Tenant& tenant, const QuotaPlan& plan) const {
+    const double netPenalty = std::clamp(plan.overQuotaPenalty - plan.overQuotaWeight, 0.0, 1.0);
     if (settings_.usageMeterPeriod <= Duration{})
-        return 1 - rejectedReplyShares_[toPosition(tenant.plan)] * loss;
-    const double maxUtilization = 1 - kMeterMarginQuotaShare * loss;
+        return 1 - rejectingReplyShares_[toPosition(tenant.plan)] * netPenalty;
+    const double maxUtilization = 1 - kMeterMarginQuotaShare * netPenalty;
     const double utilization = std::max(tenant.usage.meteredUtilization(), kMinUtilization);
     return std::pow(std::min(1.0, maxUtilization / utilization), kMeterExponent);
 }
--- a/src/decision/quota/quota_admission.h
+++ b/src/decision/quota/quota_admission.h
@@ -39,7 +39,7 @@
           sampler_(sampler),
           tenants_(tenants),
           ledger_(ledger),
-          rejectedReplyShares_(settings.plans.size(), 0) {}
+          rejectingReplyShares_(settings.plans.size(), 0) {}
 
     // Charges an arrived request, or rejects it if the last known total leaves no quota for it.
     // Precondition: its class and its plan are in the settings.
@@ -60,8 +60,8 @@
                          TimePoint startedAt);
     bool decideByWindow(Tenant& tenant, const Request& request, WindowSlice& slice, TimePoint now);
     void recordWindowDecision(Tenant& tenant, const QuotaCharge& charge, bool fits, TimePoint now);
-    bool fitsConcurrency(const Tenant& tenant, const QuotaPlan& plan) const;
-    double unconfirmedProbability(const Tenant& tenant, const QuotaPlan& plan) const;
+    bool isWithinConcurrencyLimit(const Tenant& tenant, const QuotaPlan& plan) const;
+    double unconfirmedAdmissionProbability(const Tenant& tenant, const QuotaPlan& plan) const;
     double replyValue(const Tenant& tenant, const WindowSlice& slice, TimePoint now) const;
     double maxSampleWeight(const Tenant& tenant) const;
 
@@ -73,7 +73,7 @@
     TenantTable& tenants_;
     CounterLedger& ledger_;
     // For each plan: moving average of the share of counter replies that left no quota for their request.
-    std::vector<double> rejectedReplyShares_;
+    std::vector<double> rejectingReplyShares_;
 };
 
 }  // namespace gateway
--- a/src/decision/quota/usage_estimator.cpp
+++ b/src/decision/quota/usage_estimator.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr double kLowLocalTrafficShare = 0.1;
-constexpr double kPenaltyTrustMultiplier = 5;
+constexpr double kNetPenaltyWeightFactor = 5;
 constexpr double kMinTrafficMultiplier = 0.5;  // of an even share among the tenant's entry points
 
 }  // namespace
@@ -19,10 +19,10 @@
 
 double UsageEstimator::trafficShare(const Tenant& tenant) const {
     const QuotaPlan& plan = planOf(tenant);
-    const double window = plan.burst + plan.rate * sliceSeconds(plan);
+    const double windowQuota = plan.burst + plan.rate * sliceSeconds(plan);
     // The prior assumes an even share among the entry points. It has the weight of half the cost that the
     // quota admits in one slice.
-    const double prior = std::max({window, settings_.maxRequestCost, 1.0}) / 2;
+    const double prior = std::max({windowQuota, settings_.maxRequestCost, 1.0}) / 2;
     const TenantUsage& usage = tenant.usage;
     const double share =
         (usage.closedLocalCost() + prior / tenant.entryPoints) / (usage.closedTotalCost() + prior);
@@ -40,10 +40,10 @@
 double UsageEstimator::estimatedRemoteUsage(const Tenant& tenant, double cost) const {
     const QuotaPlan& plan = planOf(tenant);
     // The more an over-quota request earns beyond its penalty, the lower is the weight of the estimate.
-    const double loss = plan.overQuotaPenalty - plan.overQuotaWeight;
-    const double trust =
-        settings_.counterEnabled ? std::clamp(1 + kPenaltyTrustMultiplier * loss, 0.0, 1.0) : 1.0;
-    return cost * (1 / trafficShare(tenant) - 1) * trust;
+    const double netPenalty = plan.overQuotaPenalty - plan.overQuotaWeight;
+    const double estimateWeight =
+        settings_.counterEnabled ? std::clamp(1 + kNetPenaltyWeightFactor * netPenalty, 0.0, 1.0) : 1.0;
+    return cost * (1 / trafficShare(tenant) - 1) * estimateWeight;
 }
 
 }  // namespace gateway
