--- a/src/decision/quota/quota_window.cpp
+++ b/src/decision/quota/quota_window.cpp
@@ -22,12 +22,13 @@
         tenant.usage.recordClosedSlice(slices.front());
         slices.erase(slices.begin());
     }
-    while (slices.empty() || slices.back().index() < current) slices.push_back(openNext(tenant, current));
+    while (slices.empty() || slices.back().index() < current)
+        slices.push_back(makeNextSlice(tenant, current));
     return slices.back();
 }
 
 // A new slice starts with the known debt of the preceding slice, until the counter reports its total.
-WindowSlice QuotaWindow::openNext(const Tenant& tenant, SliceIndex current) const {
+WindowSlice QuotaWindow::makeNextSlice(const Tenant& tenant, SliceIndex current) const {
     if (tenant.slices.empty()) return WindowSlice(previousSlice(current));
     const QuotaPlan& plan = usage_.planOf(tenant);
     const WindowSlice& previous = tenant.slices.back();
--- a/src/decision/quota/quota_window.h
+++ b/src/decision/quota/quota_window.h
@@ -67,7 +67,7 @@
     static double debtOf(const QuotaPlan& plan, double total);
 
 private:
-    WindowSlice openNext(const Tenant& tenant, SliceIndex current) const;
+    WindowSlice makeNextSlice(const Tenant& tenant, SliceIndex current) const;
     double maxBurst(const QuotaPlan& plan) const;
     double unexpiredQuota(const Tenant& tenant, const WindowSlice& slice, double total, TimePoint now) const;
 
--- a/src/decision/quota/slice_schedule.cpp
+++ b/src/decision/quota/slice_schedule.cpp
@@ -32,13 +32,13 @@
 }
 
 SliceIndex sliceIndexAt(TenantId tenant, const QuotaPlan& plan, TimePoint now) {
-    const double slices = secondsSinceEpoch(now) / sliceSeconds(plan) + slicePhase(tenant);
-    return SliceIndex{static_cast<std::int64_t>(std::floor(slices))};
+    const double slicesSinceEpoch = secondsSinceEpoch(now) / sliceSeconds(plan) + slicePhase(tenant);
+    return SliceIndex{static_cast<std::int64_t>(std::floor(slicesSinceEpoch))};
 }
 
 double sliceStartSeconds(TenantId tenant, const QuotaPlan& plan, SliceIndex index) {
-    const auto slices = static_cast<double>(static_cast<std::int64_t>(index));
-    return (slices - slicePhase(tenant)) * sliceSeconds(plan);
+    const auto slicesSinceEpoch = static_cast<double>(static_cast<std::int64_t>(index));
+    return (slicesSinceEpoch - slicePhase(tenant)) * sliceSeconds(plan);
 }
 
 double sliceAgeSeconds(TenantId tenant, const QuotaPlan& plan, SliceIndex index, TimePoint now) {
--- a/src/decision/quota/tenant.h
+++ b/src/decision/quota/tenant.h
@@ -28,7 +28,7 @@
     TenantUsage usage;
     CeilingTokens ceiling;
     TimePoint rejectedAt{};  // when a counter reply left no quota; the epoch if the latest reply left some
-    TimePoint usedAt{};      // when its latest request was handled
+    TimePoint lastRequestAt{};
 };
 
 // Returns the tenant's slice with that index, or null if the window does not contain it. The pointer is valid
--- a/src/decision/quota/tenant_table.cpp
+++ b/src/decision/quota/tenant_table.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr int kTouchesPerSweep = 5000;
-constexpr Duration kForgetAfter =
+constexpr Duration kIdleTimeout =
     2 * kMaxCounterNameLifetime;  // the names of the tenant's slices have expired on the counter by then
 
 }  // namespace
@@ -21,13 +21,13 @@
         tenant = Tenant{};
         tenant.inFlight = inFlight;
     }
-    if (tenant.usedAt == TimePoint{}) tenant.usage.assumeInitialUtilization();
+    if (tenant.lastRequestAt == TimePoint{}) tenant.usage.assumeInitialUtilization();
     tenant.id = arrival.tenant;
     tenant.plan = arrival.plan;
     tenant.entryPoints = std::max(1, arrival.entryPoints);
-    tenant.usedAt = now;
+    tenant.lastRequestAt = now;
     ++touchesSinceSweep_;
-    if (touchesSinceSweep_ > kTouchesPerSweep) forgetIdle(now);
+    if (touchesSinceSweep_ > kTouchesPerSweep) evictIdle(now);
     return tenant;
 }
 
@@ -36,11 +36,11 @@
     return found == tenants_.end() ? nullptr : &found->second;
 }
 
-void TenantTable::forgetIdle(TimePoint now) {
+void TenantTable::evictIdle(TimePoint now) {
     touchesSinceSweep_ = 0;
     std::erase_if(tenants_, [&](const auto& entry) {
         const Tenant& tenant = entry.second;
-        return tenant.inFlight == 0 && now - tenant.usedAt > kForgetAfter;
+        return tenant.inFlight == 0 && now - tenant.lastRequestAt > kIdleTimeout;
     });
 }
 
--- a/src/decision/quota/tenant_table.h
+++ b/src/decision/quota/tenant_table.h
@@ -20,7 +20,7 @@
     Tenant* find(TenantId id);
 
 private:
-    void forgetIdle(TimePoint now);
+    void evictIdle(TimePoint now);
 
     std::unordered_map<TenantId, Tenant> tenants_;
     int touchesSinceSweep_ = 0;
--- a/tests/decision/quota/tenant_table_test.cpp
+++ b/tests/decision/quota/tenant_table_test.cpp
@@ -38,7 +38,7 @@
     const Tenant& tenant = touch(kTenant, kNow);
     EXPECT_EQ(tenants.find(kTenant), &tenant);
     EXPECT_EQ(tenants.find(kOtherTenant), nullptr);
-    EXPECT_EQ(tenant.usedAt, kNow);
+    EXPECT_EQ(tenant.lastRequestAt, kNow);
 }
 
 TEST_F(TenantTableTest, KeepsStateUnderTheSamePlan) {
@@ -46,7 +46,7 @@
     EXPECT_EQ(touch(kTenant, kNow).slices.size(), 1u);
 }
 
-TEST_F(TenantTableTest, ResetsAllButAttemptsInFlightUnderAnotherPlan) {
+TEST_F(TenantTableTest, PlanChangeResetsAllStateButAttemptsInFlight) {
     Tenant& tenant = touch(kTenant, kNow);
     tenant.slices.emplace_back(SliceIndex{7});
     tenant.inFlight = 3;
@@ -61,7 +61,7 @@
     EXPECT_EQ(touch(kTenant, kNow).entryPoints, 1);
 }
 
-TEST_F(TenantTableTest, ForgetsIdleTenants) {
+TEST_F(TenantTableTest, EvictsIdleTenants) {
     touch(kTenant, kNow);
     sweep(kNow + kIdleTime);
     EXPECT_EQ(tenants.find(kTenant), nullptr);
