--- a/src/net/discovery/endpoint_list.cpp
+++ b/src/net/discovery/endpoint_list.cpp
@@ -10,7 +10,7 @@
 
 constexpr double kMicrosPerMilli = 1e3;
 
-// Returns the name's position. All unknown names share the position after the last one.
+// Returns the index of the name, or names.size() if the name is unknown.
 int positionOf(const std::string& name, const std::vector<std::string>& names) {
     return static_cast<int>(std::find(names.begin(), names.end(), name) - names.begin());
 }
@@ -18,7 +18,7 @@
 ResolvedEndpoint readEndpoint(const Fields& fields, const EndpointVocabulary& vocabulary) {
     ResolvedEndpoint endpoint;
     EndpointEntry& entry = endpoint.entry;
-    entry.endpoint = EndpointId(fields.text("name"));
+    entry.id = EndpointId(fields.text("name"));
     entry.availability = fields.choice<Availability>("status", {{"in_service", Availability::up},
                                                                 {"terminating", Availability::draining},
                                                                 {"terminated", Availability::removed}});
--- a/src/simulator/wire_writer.cpp
+++ b/src/simulator/wire_writer.cpp
@@ -40,12 +40,12 @@
     Message operator()(const AddToCounter& action) const {
         return {
             "postAmount",
-            {{"counter", action.name}, {"n", action.amount}, {"forgetAfterS", toSeconds(action.keepFor)}}};
+            {{"counter", action.name}, {"n", action.amount}, {"forgetAfterS", toSeconds(action.timeToLive)}}};
     }
     Message operator()(const SetTimer& action) const {
         return {"sleep",
                 {{"ref", std::to_string(static_cast<std::uint64_t>(action.timer))},
-                 {"afterS", toSeconds(action.after)}}};
+                 {"afterS", toSeconds(action.delay)}}};
     }
     Message operator()(const WatchEndpoints&) const { return {"track", {{"active", true}}}; }
 };
--- a/tests/decision/quota/quota_test.h
+++ b/tests/decision/quota/quota_test.h
@@ -54,8 +54,8 @@
         AttemptEnded ended;
         ended.request = gateway.sends.back().request;
         ended.endpoint = gateway.sends.back().endpoint;
-        ended.closed = true;
-        ended.meteredPercent = percent;
+        ended.requestClosed = true;
+        ended.quotaUsagePercent = percent;
         gateway.handle(ended);
     }
 
--- a/tests/support/slow_start_fleet_endpoints.cpp
+++ b/tests/support/slow_start_fleet_endpoints.cpp
@@ -86,13 +86,13 @@
     AttemptEnded ended;
     ended.request = RequestId(std::to_string(attempt.request));
     ended.attempt = attempt.number;
-    ended.endpoint = endpoint.entry.endpoint;
+    ended.endpoint = endpoint.entry.id;
     ended.outcome = outcome;
     ended.elapsed = now_ - attempt.sentAt;
-    ended.closed = outcome == Outcome::ok || now_ >= request.deadline;
+    ended.requestClosed = outcome == Outcome::ok || now_ >= request.deadline;
     if (outcome == Outcome::ok || outcome == Outcome::rejected) {
-        ended.report.emplace();
-        ended.report->inFlight = endpoint.busyCores + static_cast<double>(endpoint.queue.size());
+        ended.loadReport.emplace();
+        ended.loadReport->inFlight = endpoint.busyCores + static_cast<double>(endpoint.queue.size());
     }
     feed(attempt.gateway, ended);
 }
