--- a/tests/decision/quota/window_slice_test.cpp
+++ b/tests/decision/quota/window_slice_test.cpp
@@ -38,7 +38,7 @@
     // Checks the invariants of WindowSlice, except for the calls in flight.
     void expectInvariants() const {
         EXPECT_DOUBLE_EQ(slice.refunds(), slice.pendingRefund() + slice.postedRefund());
-        EXPECT_EQ(slice.hasPending(), slice.pendingCharge() != 0 || slice.pendingRefund() != 0);
+        EXPECT_EQ(slice.hasPendingAmounts(), slice.pendingCharge() != 0 || slice.pendingRefund() != 0);
     }
 
     // Adds cost to the pending charge by a request that was admitted without a call, and to the pending
@@ -61,9 +61,9 @@
     addPendingRefund(2);
     const CounterCall& call = slice.beginChargeCall(kFirst, 5);
     EXPECT_EQ(call.amount(), 5 + 3 - 2);
-    EXPECT_EQ(call.postedUpToHere(), 6);
+    EXPECT_EQ(call.cumulativePosted(), 6);
     EXPECT_EQ(slice.postedRefund(), 2);
-    EXPECT_FALSE(slice.hasPending());
+    EXPECT_FALSE(slice.hasPendingAmounts());
     expectInvariants();
 }
 
@@ -72,17 +72,17 @@
     slice.beginChargeCall(kFirst, 5);
     slice.beginChargeCall(kSecond, 7);
     slice.recordAdmitted(kFirst, unpostedCharge(5), 5);
-    slice.withdraw(slice.endOldestCall());
+    slice.rollBack(slice.endOldestCall());
     EXPECT_EQ(slice.pendingCharge(), 3 + 5);
     EXPECT_EQ(slice.posted(), 7);
-    EXPECT_EQ(slice.endOldestCall().postedUpToHere(), 7);
+    EXPECT_EQ(slice.endOldestCall().cumulativePosted(), 7);
     expectInvariants();
 }
 
 TEST_F(WindowSliceTest, UncountedRejectedChargeNeedsNoRefund) {
     slice.beginChargeCall(kFirst, 5);
     ASSERT_TRUE(slice.refundRejected(kFirst, unpostedCharge(5)));
-    slice.withdraw(slice.endOldestCall());
+    slice.rollBack(slice.endOldestCall());
     EXPECT_EQ(slice.pendingRefund(), 0);
     EXPECT_EQ(slice.refunds(), 0);
     expectInvariants();
@@ -105,7 +105,7 @@
 TEST_F(WindowSliceTest, RefundsNoChargeWithoutACallInFlight) {
     slice.beginChargeCall(kFirst, 5);
     EXPECT_FALSE(slice.refundRejected(kSecond, unpostedCharge(5)));
-    EXPECT_FALSE(slice.hasPending());
+    EXPECT_FALSE(slice.hasPendingAmounts());
     EXPECT_EQ(slice.endOldestCall().admission(), Admission::pending);
     expectInvariants();
 }
@@ -146,7 +146,7 @@
     const double before = balance();
     slice.beginFlushCall();
     EXPECT_DOUBLE_EQ(balance(), before);
-    slice.withdraw(slice.endOldestCall());
+    slice.rollBack(slice.endOldestCall());
     EXPECT_DOUBLE_EQ(balance(), before);
     EXPECT_EQ(slice.pendingCharge(), 3);
     EXPECT_EQ(slice.pendingRefund(), 2);
@@ -157,9 +157,9 @@
     slice.beginChargeCall(kFirst, 5);
     slice.recordAdmitted(kFirst, unpostedCharge(5), 5);
     EXPECT_EQ(balance(), 5);
-    slice.withdraw(slice.endOldestCall());
+    slice.rollBack(slice.endOldestCall());
     EXPECT_EQ(balance(), 5);
-    EXPECT_EQ(slice.ownAdmitted(), 5);
+    EXPECT_EQ(slice.localAdmitted(), 5);
     expectInvariants();
 }
 
@@ -173,7 +173,7 @@
     EXPECT_EQ(slice.admittedSinceTotal(), 0);
     EXPECT_EQ(balance(), before);
     EXPECT_EQ(slice.posted(), 12 - 4);
-    EXPECT_EQ(slice.endOldestCall().postedUpToHere(), slice.posted());
+    EXPECT_EQ(slice.endOldestCall().cumulativePosted(), slice.posted());
     expectInvariants();
 }
 
@@ -181,7 +181,7 @@
     slice.reconcile(-3);
     EXPECT_EQ(slice.pendingCharge(), -3);
     EXPECT_EQ(slice.admittedSinceTotal(), -3);
-    EXPECT_EQ(slice.ownAdmitted(), -3);
+    EXPECT_EQ(slice.localAdmitted(), -3);
     EXPECT_EQ(slice.total(), 0);
 }
 
@@ -197,7 +197,7 @@
     slice.weightPendingCharge(0.25);
     EXPECT_EQ(slice.pendingCharge(), 12);
     slice.dropPendingCharge();
-    EXPECT_FALSE(slice.hasPending());
+    EXPECT_FALSE(slice.hasPendingAmounts());
 }
 
 TEST_F(WindowSliceTest, BurstExpiresOnlyAfterATotalAndNeverReturns) {
@@ -243,8 +243,8 @@
     charge.posted = GetParam().posted;
     charge.coveredBySamples = GetParam().coveredBySamples;
     slice.recordAdmitted(kFirst, charge, 5);
-    EXPECT_EQ(slice.ownAdmitted(), 5);
-    EXPECT_FALSE(slice.hasPending());
+    EXPECT_EQ(slice.localAdmitted(), 5);
+    EXPECT_FALSE(slice.hasPendingAmounts());
 }
 
 INSTANTIATE_TEST_SUITE_P(Charges, CoveredChargeTest,
