--- a/src/settings/json_fields.cpp
+++ b/src/settings/json_fields.cpp
@@ -13,18 +13,23 @@
     return Duration(std::llround(seconds * kMicrosPerSecond));
 }
 
+// Returns the reason of an error, for example "must be a number, found string".
+std::string wrongType(const char* expected, const Json& found) {
+    return std::string("must be ") + expected + ", found " + found.type_name();
+}
+
 }  // namespace
 
 Json parseJson(std::string_view text, const std::string& place) {
     try {
         return Json::parse(text);
     } catch (const Json::parse_error& e) {
-        throw FieldError(place, std::string("not JSON: ") + e.what());
+        throw FieldError(place, std::string("is not valid JSON: ") + e.what());
     }
 }
 
 Fields::Fields(const Json& object, std::string path) : object_(object), path_(std::move(path)) {
-    if (!object_.is_object()) complain("", "must be an object");
+    if (!object_.is_object()) complain("", wrongType("an object", object_));
 }
 
 void Fields::complain(const std::string& key, const std::string& reason) const {
@@ -47,7 +52,7 @@
 // ---- Numbers --------------------------------------------------------------------------------------
 
 double Fields::asNumber(const char* key, const Json& value) const {
-    if (!value.is_number()) complain(key, "must be a number");
+    if (!value.is_number()) complain(key, wrongType("a number", value));
     return value.get<double>();
 }
 
@@ -68,7 +73,8 @@
 }
 
 int Fields::asInteger(const char* key, double value) const {
-    if (value != std::floor(value) || std::abs(value) > kMaxInteger) complain(key, "must be a whole number");
+    if (value != std::floor(value) || std::abs(value) > kMaxInteger)
+        complain(key, "must be a whole number from -2000000000 to 2000000000");
     return static_cast<int>(value);
 }
 
@@ -103,13 +109,13 @@
 bool Fields::flag(const char* key) const {
     const Json* const value = find(key);
     if (value == nullptr) return false;
-    if (!value->is_boolean()) complain(key, "must be true or false");
+    if (!value->is_boolean()) complain(key, wrongType("true or false", *value));
     return value->get<bool>();
 }
 
 const std::string& Fields::text(const char* key) const {
     const Json& value = need(key);
-    if (!value.is_string()) complain(key, "must be text");
+    if (!value.is_string()) complain(key, wrongType("a string", value));
     return value.get_ref<const std::string&>();
 }
 
@@ -125,7 +131,7 @@
 
 const Json& Fields::needList(const char* key) const {
     const Json& list = need(key);
-    if (!list.is_array()) complain(key, "must be a list");
+    if (!list.is_array()) complain(key, wrongType("an array", list));
     return list;
 }
 
--- a/src/settings/json_fields.h
+++ b/src/settings/json_fields.h
@@ -82,7 +82,10 @@
         const std::string& word = text(key);
         for (const Choice<Value>& choice : choices)
             if (word == choice.word) return choice.value;
-        complain(key, "unknown word '" + word + "'");
+        std::string expected;
+        for (const Choice<Value>& choice : choices)
+            expected += (expected.empty() ? "'" : ", '") + std::string(choice.word) + "'";
+        complain(key, "must be one of " + expected + ", found '" + word + "'");
     }
 
 private:
--- a/src/settings/settings_validation.cpp
+++ b/src/settings/settings_validation.cpp
@@ -22,7 +22,7 @@
         require(value >= Duration::zero(), field, kNegative);
     }
     void requirePositive(Duration value, std::string_view field) {
-        require(value > Duration::zero(), field, "must be above 0");
+        require(value > Duration::zero(), field, "must be greater than 0");
     }
 
     // Selects an entry of a list: the fields of the checks that follow are fields of that entry.
@@ -38,10 +38,10 @@
 };
 
 void checkGateway(Checker& check, const Settings& settings) {
-    check.require(!settings.classes.empty(), "classes", "at least one is needed");
+    check.require(!settings.classes.empty(), "classes", "must have at least one entry");
     check.require(settings.gatewayCount >= 1, "gatewayCount", "must be 1 or more");
     check.require(settings.gatewayIndex >= 0 && settings.gatewayIndex < settings.gatewayCount, "gatewayIndex",
-                  "must be from 0 to gatewayCount - 1");
+                  "must be from 0 to the number of gateways - 1");
     check.require(settings.maxAttempts >= 1, "maxAttempts", "must be 1 or more");
     check.requireNotNegative(settings.maxRequestCost, "maxRequestCost");
     check.requireNotNegative(settings.counterTimeout, "counterTimeout");
--- a/tests/net/config/config_test.cpp
+++ b/tests/net/config/config_test.cpp
@@ -59,7 +59,7 @@
         readConfig("{");
         FAIL();
     } catch (const ConfigError& e) {
-        EXPECT_NE(std::string(e.what()).find("not JSON"), std::string::npos) << e.what();
+        EXPECT_NE(std::string(e.what()).find("is not valid JSON"), std::string::npos) << e.what();
     }
 }
 
--- a/tests/settings/json_fields_test.cpp
+++ b/tests/settings/json_fields_test.cpp
@@ -73,28 +73,28 @@
         FieldErrorCase{"Missing", [](const Fields& fields) { fields.number("missing"); },
                        "root.missing: is missing"},
         FieldErrorCase{"NotANumber", [](const Fields& fields) { fields.number("text"); },
-                       "root.text: must be a number"},
+                       "root.text: must be a number, found string"},
         FieldErrorCase{"NotWhole", [](const Fields& fields) { fields.integer("number"); },
-                       "root.number: must be a whole number"},
+                       "root.number: must be a whole number from -2000000000 to 2000000000"},
         FieldErrorCase{"Negative", [](const Fields& fields) { fields.unsignedInteger("negative"); },
                        "root.negative: must be a whole number of 0 or more"},
         FieldErrorCase{"NotAFlag", [](const Fields& fields) { fields.flag("number"); },
-                       "root.number: must be true or false"},
+                       "root.number: must be true or false, found number"},
         FieldErrorCase{"NotText", [](const Fields& fields) { fields.text("flag"); },
-                       "root.flag: must be text"},
+                       "root.flag: must be a string, found boolean"},
         FieldErrorCase{"NotAnObject", [](const Fields& fields) { fields.object("text"); },
-                       "root.text: must be an object"},
+                       "root.text: must be an object, found string"},
         FieldErrorCase{"NotAList", [](const Fields& fields) { fields.each("text", [](const Fields&) {}); },
-                       "root.text: must be a list"},
+                       "root.text: must be an array, found string"},
         FieldErrorCase{"UnknownWord",
                        [](const Fields& fields) {
                            fields.choice<int>("text", {{"a", 1}});
                        },
-                       "root.text: unknown word 'word'"},
+                       "root.text: must be one of 'a', found 'word'"},
         FieldErrorCase{
             "InItem",
             [](const Fields& fields) { fields.each("items", [](const Fields& item) { item.text("a"); }); },
-            "root.items[0].a: must be text"}),
+            "root.items[0].a: must be a string, found number"}),
     [](const auto& testCase) { return testCase.param.name; });
 
 }  // namespace
