--- a/src/net/config/config.cpp
+++ b/src/net/config/config.cpp
@@ -19,9 +19,9 @@
     std::vector<std::string> names;
     const Json* list = fields.find(key);
     if (list == nullptr) return names;
-    if (!list->is_array()) fields.complain(key, "must be a list");
+    if (!list->is_array()) fields.complain(key, "must be an array of strings");
     for (const Json& name : *list) {
-        if (!name.is_string()) fields.complain(key, "must be a list of texts");
+        if (!name.is_string()) fields.complain(key, "must be an array of strings");
         names.push_back(name.get<std::string>());
     }
     return names;
@@ -32,7 +32,8 @@
     const char* const end = text.data() + text.size();
     std::uint64_t seed = 0;
     const auto parsed = std::from_chars(text.data(), end, seed, kHexBase);
-    if (parsed.ec != std::errc() || parsed.ptr != end) fields.complain("seed", "must be up to 16 hex digits");
+    if (parsed.ec != std::errc() || parsed.ptr != end)
+        fields.complain("seed", "must be 1 to 16 hexadecimal digits, found '" + text + "'");
     return seed;
 }
 
@@ -57,7 +58,8 @@
 void readLimits(const Fields& fields, Config& config) {
     if (!fields.has("limits")) return;
     const int sockets = fields.object("limits").integer("sockets", kDefaultSockets);
-    if (sockets < kMinSockets) fields.complain("limits.sockets", "must be 64 or more");
+    if (sockets < kMinSockets)
+        fields.complain("limits.sockets", "must be 64 or more, found " + std::to_string(sockets));
     config.sockets = static_cast<std::size_t>(sockets);
 }
 
@@ -65,7 +67,7 @@
     const Fields settings = fields.object("settings");
     config.settings = readSettings(settings);
     if (config.settings.counterEnabled && !config.counter)
-        fields.complain("counter", "is missing though the settings use it");
+        fields.complain("counter", "is missing, but settings.domain.mayCount is true");
     settings.each("classes", [&](const Fields& item) { config.classNames.push_back(item.text("name")); });
     if (settings.has("contracts"))
         settings.each("contracts",
@@ -92,9 +94,10 @@
 
 Config configFromEnvironment(ConfigLoad load) {
     const char* const path = std::getenv("EDGE_CONFIG");
-    if (path == nullptr || *path == '\0') throw ConfigError("EDGE_CONFIG", "is not set");
+    if (path == nullptr || *path == '\0')
+        throw ConfigError("EDGE_CONFIG", "is not set; it must name the configuration file");
     const std::ifstream file(path);
-    if (!file) throw ConfigError("EDGE_CONFIG", std::string("cannot read ") + path);
+    if (!file) throw ConfigError("EDGE_CONFIG", std::string("can't open the configuration file ") + path);
     std::ostringstream text;
     text << file.rdbuf();
     return readConfig(text.str(), load);
--- a/src/net/discovery/discovery_client.cpp
+++ b/src/net/discovery/discovery_client.cpp
@@ -132,7 +132,9 @@
     try {
         return parseEndpointList(document, options_.vocabulary);
     } catch (const std::exception& e) {
-        log(LogLevel::warning, "discovery", e.what());
+        log(LogLevel::warning, "discovery",
+            std::string("received an invalid endpoint list: ") + e.what() +
+                "; keeping the last valid list and calling discovery again");
         throw;
     }
 }
--- a/src/net/discovery/endpoint_list.cpp
+++ b/src/net/discovery/endpoint_list.cpp
@@ -60,7 +60,7 @@
         const auto address = boost::asio::ip::make_address(text.substr(0, colon), ec);
         if (parsed.ec == std::errc() && parsed.ptr == end && !ec) return {address, port};
     }
-    throw FieldError(place, "must be ADDRESS:PORT, not '" + text + "'");
+    throw FieldError(place, "must be IP-ADDRESS:PORT, found '" + text + "'");
 }
 
 }  // namespace gateway::net
--- a/src/net/discovery/json_document_stream.cpp
+++ b/src/net/discovery/json_document_stream.cpp
@@ -15,7 +15,7 @@
     for (const char character : bytes) {
         if (depth_ == 0 && isSpace(character)) continue;
         if (depth_ == 0 && character != '{' && character != '[')
-            throw EndpointListError("stream", "not a JSON object");
+            throw EndpointListError("targets", "must be a sequence of JSON documents, found other text");
         if (!appendToDocument(character)) continue;
         onDocument(pending_);
         pending_.clear();
