--- a/tests/net/client/arrival_log_test.cpp
+++ b/tests/net/client/arrival_log_test.cpp
@@ -28,7 +28,7 @@
     EXPECT_EQ(log.takeArrivalOfNext(), kStart);
 }
 
-TEST(ArrivalLogTest, StartsAnewWhenAllIsConsumed) {
+TEST(ArrivalLogTest, StartsNewEntryWhenAllBytesAreConsumed) {
     ArrivalLog log;
     log.noteArrival(10, kStart);
     log.consume(10);
--- a/tests/net/client/client_request_reader_test.cpp
+++ b/tests/net/client/client_request_reader_test.cpp
@@ -17,7 +17,7 @@
 
 class ClientRequestReaderTest : public testing::Test {
 protected:
-    // Receives `bytes` at `now` and reads what has been received.
+    // Receives `bytes` at `now`, and reads the request from all bytes that are not consumed.
     Progress receive(const std::string& bytes) {
         input.commit(boost::asio::buffer_copy(input.prepare(bytes.size()), boost::asio::buffer(bytes)));
         reader.noteReceived(input.size(), now);
@@ -43,7 +43,7 @@
     EXPECT_EQ(reader.startedAt(), start);
 }
 
-TEST_F(ClientRequestReaderTest, KeepsWhenPipelinedRequestArrived) {
+TEST_F(ClientRequestReaderTest, RecordsArrivalOfPipelinedRequest) {
     const std::string request = "GET /load HTTP/1.1\r\n\r\n";
     const TimePoint start = now;
     EXPECT_EQ(receive(request + request), Progress::complete);
@@ -78,7 +78,7 @@
     EXPECT_EQ(reader.rejection(), http::status::request_header_fields_too_large);
 }
 
-TEST_F(ClientRequestReaderTest, NoticesExpectContinueOfChunkedBody) {
+TEST_F(ClientRequestReaderTest, DetectsExpectContinueOfChunkedBody) {
     EXPECT_EQ(receive("POST /spend HTTP/1.1\r\nExpect: 100-continue\r\nTransfer-Encoding: chunked\r\n\r\n1"),
               Progress::incomplete);
     EXPECT_TRUE(reader.expectsContinue());
--- a/tests/net/client/client_request_test.cpp
+++ b/tests/net/client/client_request_test.cpp
@@ -1,4 +1,4 @@
-// Checks on clients' requests, and their translation.
+// Tests of parseClientRequest() and hasAmbiguousLength().
 #include "net/client/client_request.h"
 
 #include <gtest/gtest.h>
@@ -83,7 +83,7 @@
 
 struct InvalidCase {
     const char* name;
-    std::function<void(HttpRequest&)> change;
+    std::function<void(HttpRequest&)> modify;
     http::status status;
     RequestField field;
 };
@@ -105,7 +105,7 @@
 
 TEST_P(InvalidRequestTest, IsRejectedWithStatusAndField) {
     HttpRequest message = makeRequest();
-    GetParam().change(message);
+    GetParam().modify(message);
     const auto parsed = parseClientRequest(message, makeRules(), kReceivedAt);
     ASSERT_TRUE(std::holds_alternative<RequestError>(parsed));
     EXPECT_EQ(std::get<RequestError>(parsed).status, GetParam().status);
@@ -129,7 +129,7 @@
                         message.erase("Idempotency-Key");
                     },
                     http::status::bad_request, RequestField::idempotencyKey},
-        invalidHeader("ClassUnlikeThePath", "Request-Class", "change", RequestField::requestClass),
+        invalidHeader("ClassDiffersFromPath", "Request-Class", "change", RequestField::requestClass),
         invalidHeader("UnknownPlan", "X-Contract", "gold", RequestField::plan),
         missingHeader("MissingPlan", "X-Contract", RequestField::plan),
         missingHeader("MissingRequestId", "Request-Id", RequestField::requestId),
@@ -157,7 +157,7 @@
     EXPECT_TRUE(std::holds_alternative<ClientRequest>(parseClientRequest(message, makeRules(), kReceivedAt)));
 }
 
-TEST(ClientRequestTest, FindsAmbiguousLengths) {
+TEST(ClientRequestTest, DetectsAmbiguousLength) {
     HttpRequest message = makeRequest("change");
     EXPECT_FALSE(hasAmbiguousLength(message));
     message.insert(http::field::transfer_encoding, "chunked");
--- a/tests/net/client/client_response_test.cpp
+++ b/tests/net/client/client_response_test.cpp
@@ -1,4 +1,4 @@
-// Responses to clients, on the wire.
+// The HTTP encoding of responses to clients.
 #include "net/client/client_response.h"
 
 #include <gtest/gtest.h>
@@ -8,29 +8,29 @@
 
 namespace http = boost::beast::http;
 
-std::string written(const ClientResponse& response, bool keepAlive = true) {
+std::string encode(const ClientResponse& response, bool keepAlive = true) {
     std::string text;
     appendResponse(text, response, keepAlive);
     return text;
 }
 
 TEST(ClientResponseTest, WritesBodyAndContentType) {
-    EXPECT_EQ(written({http::status::ok, {}, "text/plain", "body"}),
+    EXPECT_EQ(encode({http::status::ok, {}, "text/plain", "body"}),
               "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 4\r\n\r\nbody");
 }
 
 TEST(ClientResponseTest, WritesRetryAfterInDecimalSeconds) {
-    EXPECT_EQ(written({http::status::too_many_requests, std::chrono::milliseconds(1250), "", ""}),
+    EXPECT_EQ(encode({http::status::too_many_requests, std::chrono::milliseconds(1250), "", ""}),
               "HTTP/1.1 429 Too Many Requests\r\nRetry-After: 1.250000\r\nContent-Length: 0\r\n\r\n");
 }
 
 TEST(ClientResponseTest, WritesConnectionCloseIfConnectionEnds) {
-    EXPECT_EQ(written({http::status::bad_gateway, {}, "", ""}, false),
+    EXPECT_EQ(encode({http::status::bad_gateway, {}, "", ""}, false),
               "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
 }
 
 TEST(ClientResponseTest, NamesAllowedMethodsWith405) {
-    EXPECT_EQ(written({http::status::method_not_allowed, {}, "", ""}),
+    EXPECT_EQ(encode({http::status::method_not_allowed, {}, "", ""}),
               "HTTP/1.1 405 Method Not Allowed\r\nAllow: GET, POST\r\nContent-Length: 0\r\n\r\n");
 }
 
@@ -40,7 +40,7 @@
 };
 
 TEST(ClientResponseTest, PlainResponseHasReasonPhraseAsBody) {
-    for (const PhraseCase& sent :
+    for (const PhraseCase& testCase :
          {PhraseCase{http::status::ok, "OK"},
           {http::status::bad_request, "Bad Request"},
           {http::status::not_found, "Not Found"},
@@ -51,8 +51,8 @@
           {http::status::request_header_fields_too_large, "Request Header Fields Too Large"},
           {http::status::bad_gateway, "Bad Gateway"},
           {http::status::service_unavailable, "Service Unavailable"}}) {
-        const ClientResponse response = plainResponse(sent.status);
-        EXPECT_EQ(response.body, sent.phrase);
+        const ClientResponse response = plainResponse(testCase.status);
+        EXPECT_EQ(response.body, testCase.phrase);
         EXPECT_EQ(response.contentType, "text/plain");
     }
 }
--- a/tests/net/config/config_test.cpp
+++ b/tests/net/config/config_test.cpp
@@ -1,4 +1,3 @@
-// The configuration of a gateway process.
 #include "net/config/config.h"
 
 #include <gtest/gtest.h>
@@ -44,7 +43,7 @@
     EXPECT_EQ(config.known.version, 41U);
 }
 
-TEST_F(ConfigTest, EnvironmentOverridesDiscoveryAtTheStartOnly) {
+TEST_F(ConfigTest, EnvironmentOverridesDiscoveryOnlyInInitialLoad) {
     ::setenv("EDGE_DISCOVERY", "127.0.0.1:2", 1);
     const std::string text = makeConfig().dump();
     EXPECT_EQ(readConfig(text, ConfigLoad::initial).discovery.port(), 2);
@@ -65,7 +64,7 @@
 
 struct InvalidConfigCase {
     const char* name;
-    std::function<void(Json&)> change;
+    std::function<void(Json&)> modify;
     const char* place;
 };
 
@@ -77,7 +76,7 @@
 
 TEST_P(InvalidConfigTest, ThrowsConfigErrorThatNamesThePlace) {
     Json config = makeConfig();
-    GetParam().change(config);
+    GetParam().modify(config);
     try {
         readConfig(config.dump());
         FAIL();
--- a/tests/net/counter/counter_client_test.cpp
+++ b/tests/net/counter/counter_client_test.cpp
@@ -1,4 +1,4 @@
-// CounterClient on an event loop of its own, before a scripted counter.
+// Tests of CounterClient with its own event loop and a scripted counter service.
 #include "net/counter/counter_client.h"
 
 #include <gtest/gtest.h>
@@ -35,7 +35,7 @@
         while (replies.size() < count) io.run_one();
     }
 
-    // Runs what the event loop has ready until `socket` can be read.
+    // Runs the event loop until `socket` is readable.
     void runUntilReadable(const Socket& socket) {
         io.restart();
         while (!socket.waitReadable(0)) io.run_one_for(milliseconds(10));
@@ -47,8 +47,8 @@
     std::vector<CounterReplied> replies;
 };
 
-// What is added over a dead connection is lost with it.
-TEST_F(CounterClientTest, ReplacesUnansweredConnectionAfterAFewTimeouts) {
+// Guards against calls on a dead connection, whose amounts never reach the counter.
+TEST_F(CounterClientTest, ReplacesConnectionAfterSeveralCallTimeouts) {
     CounterClient client = makeClient(milliseconds(5));
     startCall(client);
     runUntilReplies(1);
@@ -85,7 +85,7 @@
     startCall(client);
     runUntilReplies(1);
     EXPECT_EQ(replies[0].outcome, Outcome::connectFailed);
-    startCall(client);  // reported before it returns
+    startCall(client);  // reports the call before it returns
     ASSERT_EQ(replies.size(), 2U);
     EXPECT_EQ(replies[1].outcome, Outcome::connectFailed);
 }
--- a/tests/net/counter/counter_protocol_test.cpp
+++ b/tests/net/counter/counter_protocol_test.cpp
@@ -1,4 +1,4 @@
-// The counter's HTTP messages.
+// Encoding and decoding of the counter's HTTP messages.
 #include "net/counter/counter_protocol.h"
 
 #include <gtest/gtest.h>
@@ -13,28 +13,28 @@
 using std::chrono::microseconds;
 using Progress = CounterResponseParser::Progress;
 
-std::string counterCall(double amount, Duration keepFor) {
+std::string encodeCall(double amount, Duration keepFor) {
     std::string text;
     appendCounterCall(text, {"q1.2", amount, keepFor}, "127.0.0.1:9");
     return text;
 }
 
 TEST(CounterCallTest, WritesNameAmountTimeToLiveAndHost) {
-    EXPECT_EQ(counterCall(-2.5, std::chrono::seconds(4)),
+    EXPECT_EQ(encodeCall(-2.5, std::chrono::seconds(4)),
               "POST /v1/count/q1.2?add=-2.5&ttl_ms=4000 HTTP/1.1\r\n"
               "Host: 127.0.0.1:9\r\nContent-Length: 0\r\n\r\n");
 }
 
 TEST(CounterCallTest, RoundsTimeToLiveUpToAtLeastOneMillisecond) {
-    EXPECT_NE(counterCall(1, microseconds(1001)).find("ttl_ms=2 "), std::string::npos);
-    EXPECT_NE(counterCall(1, microseconds(1000)).find("ttl_ms=1 "), std::string::npos);
-    EXPECT_NE(counterCall(1, microseconds(0)).find("ttl_ms=1 "), std::string::npos);
+    EXPECT_NE(encodeCall(1, microseconds(1001)).find("ttl_ms=2 "), std::string::npos);
+    EXPECT_NE(encodeCall(1, microseconds(1000)).find("ttl_ms=1 "), std::string::npos);
+    EXPECT_NE(encodeCall(1, microseconds(0)).find("ttl_ms=1 "), std::string::npos);
 }
 
 TEST(CounterCallTest, WritesLargeAndSmallAmountsWithoutExponent) {
-    EXPECT_NE(counterCall(1e9, microseconds(1)).find("?add=1000000000&"), std::string::npos);
-    EXPECT_NE(counterCall(1e-7, microseconds(1)).find("?add=0.0000001&"), std::string::npos);
-    EXPECT_EQ(counterCall(std::numeric_limits<double>::max(), microseconds(1)).find("e+"), std::string::npos);
+    EXPECT_NE(encodeCall(1e9, microseconds(1)).find("?add=1000000000&"), std::string::npos);
+    EXPECT_NE(encodeCall(1e-7, microseconds(1)).find("?add=0.0000001&"), std::string::npos);
+    EXPECT_EQ(encodeCall(std::numeric_limits<double>::max(), microseconds(1)).find("e+"), std::string::npos);
 }
 
 struct TotalCase {
--- a/tests/settings/settings_validation_test.cpp
+++ b/tests/settings/settings_validation_test.cpp
@@ -1,4 +1,4 @@
-// The checks on settings before an engine starts with them.
+// Tests of validate(), which the engine's constructor calls as well.
 #include <gtest/gtest.h>
 
 #include "gateway/decision_engine.h"
