--- a/tests/net/discovery/discovery_client_test.cpp
+++ b/tests/net/discovery/discovery_client_test.cpp
@@ -1,4 +1,5 @@
-// The calls of a gateway process to discovery: when the next one follows, and which of two is kept.
+// Tests of DiscoveryClient in a gateway process: when it calls discovery again, and which of two open calls
+// it keeps.
 #include <gtest/gtest.h>
 
 #include <list>
@@ -13,17 +14,17 @@
 
 const std::string kSnapshotRequest = "GET /api/targets HTTP/1.1\r\n";
 
-// ---- A gateway and what it learns -----------------------------------------------------------------------
+// ---- Fixture --------------------------------------------------------------------------------------------
 
-// A gateway that knows one endpoint, which does not respond, and another endpoint, which it can only learn of
-// from discovery.
+// A gateway and two endpoints. The known endpoint is listed in the configuration and does not respond. The
+// gateway can learn of the new endpoint only from discovery.
 class ObservedGateway {
 public:
-    // `discovery`: where it is, unless the gateway has its own.
+    // `discovery`: the discovery service to call; null for one that the gateway process owns.
     explicit ObservedGateway(const std::string& mode, const Server* discovery = nullptr)
-        : gateway(optionsFor(mode, discovery)) {}
+        : gateway(makeOptions(mode, discovery)) {}
 
-    // Answers a call with a list of the new endpoint alone, and waits until it is in force.
+    // Answers a call with a list of only the new endpoint, and waits until the list is in force.
     void answer(const Socket& call, int index) {
         call.write(kChunkedHead + snapshotChunk(index, {newEntry()}));
         expectNewEndpointInForce();
@@ -34,36 +35,36 @@
         constexpr int kMaxRequests = 100;
         for (int i = 0; i < kMaxRequests; ++i) {
             Socket client = gateway.connectClient();
-            const std::string id = "t" + std::to_string(++requests_);
+            const std::string id = "t" + std::to_string(++requestCount_);
             client.write(safeRequest(id).withoutQuota().withTimeout(std::chrono::seconds(1)).text());
             if (waitForReadable({&client, &newEndpoint_}).back() != &newEndpoint_) continue;
             acceptAttempt(newEndpoint_);
             return;
         }
-        ADD_FAILURE() << "the list is not in force";
+        ADD_FAILURE() << "none of " << kMaxRequests << " requests was forwarded to the new endpoint";
     }
 
     ListedEndpoint knownEntry() const { return listedEndpoint("known", knownEndpoint_); }
     ListedEndpoint newEntry() const { return listedEndpoint("new", newEndpoint_); }
 
 private:
-    GatewayOptions optionsFor(const std::string& mode, const Server* discovery) const {
+    GatewayOptions makeOptions(const std::string& mode, const Server* discovery) const {
         GatewayOptions options;
         options.knownEndpoints = {knownEntry()};
-        options.settings = withDiscovery(mode, std::chrono::hours(1));  // which allows all waits
+        options.settings = withDiscovery(mode, std::chrono::hours(1));  // too long to matter
         if (discovery != nullptr) options.discovery = discovery->address();
         return options;
     }
 
     Server knownEndpoint_;
     Server newEndpoint_;
-    int requests_ = 0;
+    int requestCount_ = 0;
 
 public:
     GatewayProcess gateway;
 };
 
-// By the mode of discovery.
+// The parameter is the mode of discovery.
 class DiscoveryClientTest : public testing::TestWithParam<std::string> {
 protected:
     bool isPolled() const { return GetParam() == kPolledDiscovery; }
@@ -74,11 +75,12 @@
         return call;
     }
 
-    // Lets the call of each gateway fail in its own way, and expects the next one before a request that came
-    // at that moment has run out of time: both are timed in one process, so a slow machine makes both late.
+    // Fails one call of each gateway, and expects the next call before a request that is sent at the same
+    // moment times out. The request serves as the clock because the same process measures its timeout: a
+    // slow machine delays both.
     void expectCalledAgain(std::list<FailingDiscovery>& discoveries, std::list<ObservedGateway>& gateways,
                            const std::string& path) const {
-        // Less than what may pass until a change must be known; more than a call may wait for its slot.
+        // Shorter than the update deadline, and longer than the longest wait for a slot.
         const std::chrono::milliseconds limit(isPolled() ? 5900 : 3900);
         std::vector<Socket> clients;
         auto observed = gateways.begin();
@@ -141,7 +143,7 @@
     }
 }
 
-// What the new discovery has must be known 4 s after SIGHUP.
+// The gateway must know the new discovery's list 4 s after SIGHUP.
 TEST_P(DiscoveryClientTest, CallsNewDiscoveryInTimeAfterReload) {
     const Server newDiscovery;
     ObservedGateway observed(GetParam());
@@ -154,9 +156,9 @@
     EXPECT_TRUE(newDiscovery.waitReadable(0));
 }
 
-// ---- Two calls ------------------------------------------------------------------------------------------
+// ---- Two open calls -------------------------------------------------------------------------------------
 
-// The list begins only when a newer call has been made: it is accepted, and the newer call ends.
+// The older call is answered only after a newer one was made. Its list is accepted and the newer call closed.
 TEST_P(DiscoveryClientTest, AcceptsListThatBeginsLateAtStart) {
     ObservedGateway observed(GetParam());
     const Socket slow = acceptCall(observed);
@@ -179,7 +181,7 @@
     slow.write(okResponse(snapshotDocument(3, {observed.newEntry()})));
     EXPECT_TRUE(newer.waitForClose());
     observed.expectNewEndpointInForce();
-    // The watch that follows the snapshot is one more call, which is kept open while it waits as well.
+    // The watch after the snapshot also stays open while it is unanswered and a newer call is made.
     EXPECT_TRUE(contains(slow.receiveMessage(), "since=3 "));
     newer = newDiscovery.accept();
     EXPECT_TRUE(contains(newer.receiveMessage(), "since=3 "));
@@ -187,8 +189,8 @@
     EXPECT_TRUE(newer.waitForClose());
 }
 
-// A head alone is no list yet, and a list that stops part way may go on.
-TEST_P(DiscoveryClientTest, AcceptsListThatStopsPartWayOnceItGoesOn) {
+// A response header alone does not close the newer call, and an interrupted list may continue.
+TEST_P(DiscoveryClientTest, AcceptsListThatContinuesAfterInterruption) {
     constexpr std::size_t kFirstPart = 30;
     ObservedGateway observed(GetParam());
     const Socket slow = acceptCall(observed);
@@ -212,7 +214,7 @@
     EXPECT_TRUE(older.waitForClose());
 }
 
-// A rejection is no answer for which the other call would end.
+// A rejection is no list, so it does not close the other call.
 TEST_P(DiscoveryClientTest, KeepsOtherCallOpenWhenOneIsRejected) {
     for (const bool rejectsOlder : {false, true}) {
         SCOPED_TRACE(rejectsOlder ? "the older one is rejected" : "the newer one is rejected");
@@ -226,7 +228,7 @@
     }
 }
 
-// Discovery that never answers holds two descriptors, and no more.
+// Calls that are never answered must not use more than two descriptors.
 TEST_P(DiscoveryClientTest, KeepsNewestTwoUnansweredCallsOpen) {
     ObservedGateway observed(GetParam());
     Socket first = observed.gateway.discovery().accept();
@@ -260,7 +262,7 @@
     EXPECT_EQ(observed.gateway.waitForExit(), 0);
 }
 
-// What a silent watch may still bring is older than what the next one does.
+// Guards against changes that arrive late on a silent watch, after newer ones of the next watch.
 TEST_P(DiscoveryClientTest, ClosesSilentWatchBeforeNextCall) {
     ObservedGateway observed(GetParam());
     Socket watch = acceptCall(observed);
--- a/tests/net/discovery/endpoint_list_test.cpp
+++ b/tests/net/discovery/endpoint_list_test.cpp
@@ -1,4 +1,4 @@
-// Discovery's documents.
+// Parsing of discovery's documents.
 #include "net/discovery/endpoint_list.h"
 
 #include <gtest/gtest.h>
@@ -44,13 +44,13 @@
     EXPECT_EQ(parse(document).endpoints.front().entry.availability, Availability::removed);
 }
 
-TEST(EndpointListTest, GivesUnknownZoneThePositionAfterTheLast) {
+TEST(EndpointListTest, MapsUnknownZoneToIndexAfterTheLast) {
     Json document = makeDocument();
     document["endpoints"][0]["zone"] = "elsewhere";
     EXPECT_EQ(parse(document).endpoints.front().entry.zone, ZoneId{2});
 }
 
-TEST(EndpointListTest, NeedsNoAddressOfRemovedEndpoint) {
+TEST(EndpointListTest, RequiresAddressUnlessEndpointIsTerminated) {
     Json document = makeDocument();
     document["endpoints"][0].erase("address");
     EXPECT_THROW(parse(document), EndpointListError);
--- a/tests/net/discovery/poll_schedule_fleet_test.cpp
+++ b/tests/net/discovery/poll_schedule_fleet_test.cpp
@@ -1,4 +1,4 @@
-// When a fleet of gateways calls discovery, simulated. No sockets, no clock.
+// Simulates when a fleet of gateways calls discovery. Uses no sockets or clock.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -25,8 +25,8 @@
     return static_cast<double>(duration.count()) / 1e6;
 }
 
-// For comparison: a schedule of random waits. After a failure they are drawn up to a bound that doubles from
-// half of the maximal poll interval to all of it; after a silence, up to a second.
+// A schedule of random waits, for comparison. After a failure, a wait is drawn up to a bound that doubles
+// from half of the maximum poll interval to all of it. After a silence, a wait is drawn up to 1 s.
 class RandomSchedule {
 public:
     RandomSchedule(Duration maxPollInterval, std::uint64_t seed)
@@ -47,17 +47,17 @@
     Duration delayAfterUnanswered(TimePoint now) const { return delayAfterStart(now); }
 };
 
-// What happens to all watches of a fleet at the same time.
+// How all watches of a fleet end at the same time.
 enum class Loss { broken, unanswered, silent, reload };
 
 struct FleetResult {
     int maxCallsPerSecond = 0;
-    int rejected = 0;
-    double lastKnownSeconds = 0;  // from the end of the outage until every gateway knows the list
+    int rejectedCalls = 0;
+    double allKnownSeconds = 0;  // time from the end of the outage until every gateway knows the list
 };
 
-// A fleet that loses its watches at kStart and calls discovery again. Discovery serves 80 calls a second, one
-// after another; up to 20 wait, and it rejects more.
+// Simulates a fleet that loses its watches at kStart and calls discovery again. Discovery serves 80 calls per
+// second, one after another. It queues up to 20 calls and rejects the others.
 template <class Schedule>
 class FleetSimulation {
 public:
@@ -70,7 +70,7 @@
         while (!calls_.empty()) {
             const Call call = calls_.top();
             calls_.pop();
-            countInLastSecond(call.time);
+            countCall(call.time);
             if (call.time < outageEnd_)
                 retryDuringOutage(call);
             else
@@ -97,8 +97,8 @@
             case Loss::unanswered:
                 return kStart + schedule.delayAfterFailure(kStart);
             case Loss::silent: {
-                const TimePoint noticed = kStart + kMaxSilence;
-                return noticed + schedule.delayAfterSilence(noticed);
+                const TimePoint detected = kStart + kMaxSilence;
+                return detected + schedule.delayAfterSilence(detected);
             }
             case Loss::reload:
                 break;
@@ -106,10 +106,11 @@
         return kStart + schedule.delayAfterReload(kStart);
     }
 
-    void countInLastSecond(TimePoint time) {
-        lastSecond_.push_back(time);
-        while (time - lastSecond_.front() >= seconds(1)) lastSecond_.pop_front();
-        result_.maxCallsPerSecond = std::max(result_.maxCallsPerSecond, static_cast<int>(lastSecond_.size()));
+    void countCall(TimePoint time) {
+        callsInLastSecond_.push_back(time);
+        while (time - callsInLastSecond_.front() >= seconds(1)) callsInLastSecond_.pop_front();
+        result_.maxCallsPerSecond =
+            std::max(result_.maxCallsPerSecond, static_cast<int>(callsInLastSecond_.size()));
     }
 
     void retryDuringOutage(const Call& call) {
@@ -122,26 +123,26 @@
     void serveOrReject(const Call& call) {
         idleAt_ = std::max(idleAt_, call.time);
         if (idleAt_ - call.time > kMaxQueued * kServiceTime) {
-            ++result_.rejected;
+            ++result_.rejectedCalls;
             calls_.push({call.time + fleet_[call.gateway].delayAfterFailure(call.time), call.gateway});
             return;
         }
         idleAt_ += kServiceTime;
-        result_.lastKnownSeconds = std::max(result_.lastKnownSeconds, inSeconds(idleAt_ - outageEnd_));
+        result_.allKnownSeconds = std::max(result_.allKnownSeconds, inSeconds(idleAt_ - outageEnd_));
     }
 
     std::vector<Schedule> fleet_;
     Loss loss_;
     TimePoint outageEnd_;
-    TimePoint idleAt_;  // when discovery has served the calls that it has accepted
+    TimePoint idleAt_;  // when discovery will have served all calls that it has accepted
     std::priority_queue<Call, std::vector<Call>, std::greater<>> calls_;
-    std::deque<TimePoint> lastSecond_;
+    std::deque<TimePoint> callsInLastSecond_;
     FleetResult result_;
 };
 
 class PollingFleetTest : public testing::Test {
 protected:
-    // Simulates the loss with random waits and with slots, and prints both results.
+    // Simulates the loss of the watches with random waits and with slots, and prints both results.
     void simulate(const char* what, Loss loss, Duration outage) {
         constexpr Duration kMaxPollInterval = seconds(10);
         std::vector<RandomSchedule> randomFleet;
@@ -162,8 +163,8 @@
 private:
     static void print(const char* what, const char* schedule, const FleetResult& result) {
         std::cout << what << ", " << schedule << ": at most " << result.maxCallsPerSecond
-                  << " calls in a second, " << result.rejected << " rejected, all known after "
-                  << result.lastKnownSeconds << " s\n";
+                  << " calls in a second, " << result.rejectedCalls << " rejected, all known after "
+                  << result.allKnownSeconds << " s\n";
     }
 };
 
@@ -171,29 +172,29 @@
     simulate("refused for 8 s", Loss::broken, seconds(8));
     EXPECT_LE(withSlots.maxCallsPerSecond, 68);  // 300 in 4.5 s
     EXPECT_LT(withSlots.maxCallsPerSecond, withRandomWaits.maxCallsPerSecond);
-    EXPECT_EQ(withSlots.rejected, 0);
-    EXPECT_LE(withSlots.lastKnownSeconds, 6);
+    EXPECT_EQ(withSlots.rejectedCalls, 0);
+    EXPECT_LE(withSlots.allKnownSeconds, 6);
 }
 
 TEST_F(PollingFleetTest, SpreadsCallsAndMeetsDeadlineAfterUnansweredCalls) {
     simulate("unanswered for 8 s", Loss::unanswered, seconds(8));
     EXPECT_LE(withSlots.maxCallsPerSecond, 68);
-    EXPECT_EQ(withSlots.rejected, 0);
-    EXPECT_LE(withSlots.lastKnownSeconds, 6);
+    EXPECT_EQ(withSlots.rejectedCalls, 0);
+    EXPECT_LE(withSlots.allKnownSeconds, 6);
 }
 
 TEST_F(PollingFleetTest, SpreadsCallsWhenAllWatchesFallSilentAtOnce) {
     simulate("all silent at once", Loss::silent, seconds(0));
     EXPECT_LE(withSlots.maxCallsPerSecond, 150);
     EXPECT_LT(withSlots.maxCallsPerSecond, withRandomWaits.maxCallsPerSecond);
-    EXPECT_LT(withSlots.rejected, withRandomWaits.rejected);
+    EXPECT_LT(withSlots.rejectedCalls, withRandomWaits.rejectedCalls);
 }
 
 TEST_F(PollingFleetTest, SpreadsCallsWhenAllReloadAtOnce) {
     simulate("SIGHUP to all at once", Loss::reload, seconds(0));
     EXPECT_LT(withSlots.maxCallsPerSecond, withRandomWaits.maxCallsPerSecond);
-    EXPECT_LT(withSlots.rejected, withRandomWaits.rejected);
-    EXPECT_LT(withSlots.lastKnownSeconds, withRandomWaits.lastKnownSeconds);
+    EXPECT_LT(withSlots.rejectedCalls, withRandomWaits.rejectedCalls);
+    EXPECT_LT(withSlots.allKnownSeconds, withRandomWaits.allKnownSeconds);
 }
 
 }  // namespace
--- a/tests/net/discovery/poll_schedule_test.cpp
+++ b/tests/net/discovery/poll_schedule_test.cpp
@@ -1,4 +1,4 @@
-// When one gateway calls discovery. No sockets, no clock.
+// Tests when one gateway calls discovery. Uses no sockets or clock.
 #include "net/discovery/poll_schedule.h"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
 constexpr int kFleetSize = 300;
 constexpr std::uint64_t kSeed = 7;
 constexpr Duration kMaxOutage = seconds(12);
-constexpr Duration kOutageStep{49'999};  // no multiple of a period
+constexpr Duration kOutageStep{49'999};  // divides no period, so the steps reach all phases of a slot
 
 double inSeconds(Duration duration) {
     return static_cast<double>(duration.count()) / 1e6;
@@ -37,7 +37,7 @@
                     ASSERT_LE(wait, period);
                     ASSERT_EQ((now + wait).time_since_epoch() % period, period * index / count);
                 }
-                // In a slot, the next one is a whole period away.
+                // At the time of a slot, the next slot is a whole period away.
                 const TimePoint slot = kStart + slots.untilNext(kStart, period);
                 ASSERT_EQ(slots.untilNext(slot, period), period);
             }
@@ -60,7 +60,7 @@
 
 // ---- One gateway ----------------------------------------------------------------------------------
 
-// How the watch, and then every call during an outage, fails.
+// How the watch fails at the start of an outage, and then every call during it.
 enum class Failure { refused, notConnected, unanswered, rejected, broken, cutWithinList, silent };
 
 constexpr std::array kFailures{Failure::refused,  Failure::notConnected, Failure::unanswered,
@@ -73,13 +73,13 @@
     return out << kNames[static_cast<std::size_t>(failure)];
 }
 
-// The calls of one gateway during an outage, all of which fail in the same way.
+// Simulates the calls of one gateway during an outage, which all fail in the same way.
 class OutageCalls {
 public:
     OutageCalls(PollSchedule& schedule, Failure failure) : schedule_(schedule), failure_(failure) {}
 
-    // Returns when the first call starts at or after `end`, the end of the outage. `from`: when the call
-    // before the outage was started, or the watch sent its last byte.
+    // Returns the start of the first call at or after `end`, the end of the outage. `from` is when the call
+    // before the outage was started, or when the watch received its last byte.
     TimePoint firstCallAfterOutage(TimePoint from, TimePoint end) {
         next_ = firstCall(from);
         while (next_ < end) failNextCall();
@@ -92,8 +92,8 @@
             case Failure::broken:
                 return from + schedule_.delayAfterFailure(from);
             case Failure::silent: {
-                const TimePoint noticed = from + kMaxSilence;
-                return noticed + schedule_.delayAfterSilence(noticed);
+                const TimePoint detected = from + kMaxSilence;
+                return detected + schedule_.delayAfterSilence(detected);
             }
             default:
                 return from;
@@ -125,7 +125,7 @@
         }
     }
 
-    // A call schedules the next one only if no newer call has started since.
+    // Events of a call schedule the next call only if no newer call has been started.
     void sendRequest(TimePoint when) {
         if (when < next_) next_ = when + schedule_.delayAfterRequest(when);
     }
@@ -138,18 +138,18 @@
     TimePoint next_{};
 };
 
-// Returns how long after the outage a polling gateway knows the list.
+// Returns the time from the end of the outage until a polling gateway knows the list.
 Duration timeUntilKnown(int index, Duration maxPollInterval, Failure failure, Duration outage) {
     const TimePoint from = kStart + Duration(index * 41'003);
     const TimePoint end = from + outage;
     PollSchedule schedule = PollSchedule::poll(index, kFleetSize, maxPollInterval, kSeed);
     const TimePoint call = OutageCalls(schedule, failure).firstCallAfterOutage(from, end);
-    // A watch is noticed to be silent only after kMaxSilence.
-    const bool isNoticedLate = failure == Failure::silent && outage < kMaxSilence;
-    return call + (isNoticedLate ? kMaxCallTimeAfterSilence : kMaxCallTime) - end;
+    // The gateway detects a silent watch only after kMaxSilence.
+    const bool isDetectedLate = failure == Failure::silent && outage < kMaxSilence;
+    return call + (isDetectedLate ? kMaxCallTimeAfterSilence : kMaxCallTime) - end;
 }
 
-TEST(PollScheduleTest, ListIsKnownByUpdateDeadlineHoweverCallsFailAndWheneverOutageEnds) {
+TEST(PollScheduleTest, ListIsKnownByUpdateDeadlineAfterAnyFailureAndOutage) {
     Duration longest{};
     for (const Duration maxPollInterval : {Duration::zero(), Duration(seconds(1)), Duration(seconds(10))}) {
         for (int index = 0; index < kFleetSize; ++index) {
@@ -165,7 +165,8 @@
     }
     std::cout << "longest: known " << inSeconds(longest) << " s after the outage, of which the call "
               << inSeconds(kMaxCallTime) << " s\n";
-    EXPECT_GT(longest, kUpdateDeadline - milliseconds(100));  // else it calls more often than needed
+    // Otherwise the gateway would call more often than the deadline requires.
+    EXPECT_GT(longest, kUpdateDeadline - milliseconds(100));
 }
 
 TEST(PollScheduleTest, CallsAgentAgainAtOnce) {
@@ -176,8 +177,7 @@
                 PollSchedule schedule = PollSchedule::push(seed);
                 const TimePoint end = kStart + outage;
                 const Duration wait = OutageCalls(schedule, failure).firstCallAfterOutage(kStart, end) - end;
-                // A call that is unanswered will be answered itself; a new one is made beside it all the
-                // same.
+                // A pending call is answered after the outage, but the gateway makes a newer one anyway.
                 const bool isPending = failure == Failure::unanswered || failure == Failure::silent;
                 ASSERT_LE(wait,
                           isPending ? kMaxSilence + milliseconds(2) : kMaxConnectTime + milliseconds(200))
@@ -199,7 +199,7 @@
             const TimePoint rejected = first + milliseconds(5);
             const TimePoint second = rejected + schedule.delayAfterFailure(rejected);
             ASSERT_LE(second, reload + seconds(3));
-            ASSERT_GE(second, first + milliseconds(1000));  // not at once after a rejection
+            ASSERT_GE(second, first + milliseconds(1000));  // no immediate retry after a rejection
         }
     }
 }
--- a/tests/net/discovery/watch_stream_test.cpp
+++ b/tests/net/discovery/watch_stream_test.cpp
@@ -1,4 +1,4 @@
-// The watch of discovery's endpoint list, as a gateway process holds it.
+// Tests of WatchStream in a gateway process.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -22,7 +22,7 @@
         call.receiveMessage();
         return call;
     }
-    // The same, where the call must be a watch from the version `index`.
+    // Accepts a call, and expects it to watch the changes since version `index`.
     Socket acceptWatchFrom(int index) {
         Socket watch = gateway().discovery().accept();
         EXPECT_TRUE(contains(watch.receiveMessage(), "since=" + std::to_string(index) + " "));
@@ -33,7 +33,7 @@
 
 // ---- Documents ------------------------------------------------------------------------------------------
 
-TEST_F(WatchStreamTest, ReconnectsFromKnownVersionAndRemovesEndpointsThatSnapshotLacks) {
+TEST_F(WatchStreamTest, ResumesFromKnownVersionAndRemovesEndpointsMissingInSnapshot) {
     const Server newEndpoint;
     startGateway(withLongDrainGracePeriod());
     {
@@ -45,13 +45,14 @@
         const Socket watch = acceptWatchFrom(43);
         watch.write(kChunkedHead + snapshotChunk(50, {listedEndpoint("b", newEndpoint)}));
     }
-    // A list is applied before the next one is requested: the third watch shows that it is in force.
+    // The gateway applies a list before it calls again, so the second list is in force once the third watch
+    // is open.
     const Socket watch = acceptWatchFrom(50);
     expectServedBy(gateway(), newEndpoint, 4);
     EXPECT_FALSE(endpoint.waitReadable(0));
 }
 
-// The end of a line within an object does not end it, nor does a bracket within a string.
+// Neither a line break nor a bracket within a string ends a document.
 TEST_F(WatchStreamTest, ParsesIndentedSplitAndConcatenatedDocuments) {
     const Server newEndpoint;
     startGateway(withLongDrainGracePeriod());
@@ -88,8 +89,8 @@
     EXPECT_EQ(statusOf(client.receiveMessage()), 200);
 }
 
-// In a fleet that is replaced all day, removed endpoints would be kept and walked through for ever.
-TEST_F(WatchStreamTest, KeepsNoMemoryOfRemovedEndpoints) {
+// Guards against a memory leak in a gateway whose endpoints are replaced continuously.
+TEST_F(WatchStreamTest, ReleasesMemoryOfRemovedEndpoints) {
     constexpr int kRounds = 200;
     constexpr int kEndpointsPerRound = 100;
     constexpr long kMaxGrowthKilobytes = 6000;
@@ -97,7 +98,7 @@
     const Socket watch = acceptCall();
     watch.write(kChunkedHead);
     int index = 42;
-    // Returns once a snapshot that is sent here is in force.
+    // Sends a snapshot with one new endpoint, and returns once it is in force.
     const auto replaceAll = [&] {
         const std::string name = "last" + std::to_string(index);
         watch.write(snapshotChunk(++index, {listedEndpoint(name, endpoint)}));
@@ -129,7 +130,7 @@
 
 // ---- Silence --------------------------------------------------------------------------------------------
 
-// A watch that was cut off stays open without a byte; a live one brings an empty line every 2 s.
+// A watch whose connection is dead receives nothing, while a live one receives an empty line every 2 s.
 TEST_F(WatchStreamTest, ReopensSilentWatchFromKnownVersion) {
     startGatewayWithoutEndpoints();
     Socket silent = acceptCall();
@@ -137,9 +138,9 @@
     EXPECT_TRUE(silent.waitForClose());
 }
 
-// The silence counts from the last byte: another watch is open 2.3 s after that, so before a request that
-// came just behind it has run out of its 3.9 s.
-TEST_F(WatchStreamTest, ReopensWatchThatIsSilentAfterLastByteInTime) {
+// The silence is measured from the last byte. The next watch is opened 2.3 s after it, and so before a
+// request that arrives just after that byte times out after 3.9 s.
+TEST_F(WatchStreamTest, ReopensSilentWatchInTimeAfterItsLastByte) {
     startGateway();
     const Socket watch = acceptCall();
     watch.write(kChunkedHead + chunk("\n"));
@@ -160,22 +161,22 @@
     }
 };
 
-// What a silent watch misses counts 6 s after its last byte, so it is called again sooner than one that
-// rejects calls.
-TEST_F(PolledWatchStreamTest, ReopensSilentWatchSoonAndKeepsUnansweredCallOpenBesideNewerOne) {
+// Discovery is called sooner after a silence than after a rejection, because the update deadline of 6 s
+// starts with the last byte.
+TEST_F(PolledWatchStreamTest, ReopensSilentWatchSoonAndKeepsUnansweredCallOpen) {
     Socket watch = acceptCall();
     watch.write(kChunkedHead + chunk("\n"));
     Socket next = acceptWatchFrom(kKnownIndex);
     EXPECT_TRUE(watch.waitForClose());
     const Socket newer = acceptWatchFrom(kKnownIndex);
     EXPECT_FALSE(next.waitReadable(0));
-    EXPECT_FALSE(isCalledAgain(kPauseMs));  // the other gateways wait in the same queue
+    EXPECT_FALSE(isCalledAgain(kPauseMs));  // all gateways wait in the same queue
     newer.write(kChunkedHead + chunk("\n"));
     EXPECT_TRUE(next.waitForClose());
 }
 
-// It is one service for all gateways: one that it rejects at its own time comes again a period later. The
-// first call of a process is made at once.
+// The first call of a process is made at once, and the second in the gateway's next slot. A gateway that is
+// rejected in its slot calls again a whole period later, because all gateways share the service.
 TEST_F(PolledWatchStreamTest, WaitsForItsNextSlotAfterRejection) {
     for (int i = 0; i < 2; ++i) {
         Socket call = acceptCall();
