--- a/src/decision/engine/request_lifecycle.cpp
+++ b/src/decision/engine/request_lifecycle.cpp
@@ -120,7 +120,7 @@
     attempts_.recordEnd(*request, ended, context.now);
     recordReached(*request, ended.outcome);
     settleCost(context, *request, ended, tenant);
-    if (ended.closed) request->closed = true;
+    if (ended.requestClosed) request->closed = true;
 
     if (!request->closed && retries_.tryAcquireRetry(*request, context.now)) {
         forward(context, *request);
@@ -145,8 +145,9 @@
 void RequestLifecycle::settleCost(EventContext& context, Request& request, const AttemptEnded& ended,
                                   Tenant* tenant) {
     if (tenant == nullptr) return;
-    if (ended.meteredPercent) tenant->usage.recordMeter(*ended.meteredPercent);
-    if (ended.trueCost) ledger_.reconcile(context, *tenant, request, *ended.trueCost - request.arrival.cost);
+    if (ended.quotaUsagePercent) tenant->usage.recordMeter(*ended.quotaUsagePercent);
+    if (ended.actualCost)
+        ledger_.reconcile(context, *tenant, request, *ended.actualCost - request.arrival.cost);
 }
 
 // ---- The end --------------------------------------------------------------------------------------
--- a/tests/decision/upstream/upstream_engine_test.cpp
+++ b/tests/decision/upstream/upstream_engine_test.cpp
@@ -23,7 +23,7 @@
 
 EndpointEntry UpstreamEngineTest::entry(const std::string& name, Availability availability, CellId cell) {
     EndpointEntry entry;
-    entry.endpoint = EndpointId(name);
+    entry.id = EndpointId(name);
     entry.availability = availability;
     entry.cell = cell;
     return entry;
@@ -61,7 +61,7 @@
     ended.endpoint = attempt.endpoint;
     ended.outcome = reply.outcome;
     ended.elapsed = reply.elapsed;
-    ended.closed = reply.outcome == Outcome::ok;
+    ended.requestClosed = reply.outcome == Outcome::ok;
     gateway_->handle(ended);
 }
 
