--- a/src/net/config/config.cpp
+++ b/src/net/config/config.cpp
@@ -68,10 +68,10 @@
     config.settings = readSettings(settings);
     if (config.settings.counterEnabled && !config.counter)
         fields.complain("counter", "is missing, but settings.domain.mayCount is true");
-    settings.each("classes", [&](const Fields& item) { config.classNames.push_back(item.text("name")); });
+    settings.forEach("classes", [&](const Fields& item) { config.classNames.push_back(item.text("name")); });
     if (settings.has("contracts"))
-        settings.each("contracts",
-                      [&](const Fields& item) { config.planNames.push_back(item.text("name")); });
+        settings.forEach("contracts",
+                         [&](const Fields& item) { config.planNames.push_back(item.text("name")); });
     config.keepAlive = settings.object("allowed").seconds("keepaliveS", kDefaultKeepAliveSeconds);
     config.vocabulary = {readNames(settings, "zones"), readNames(settings, "kinds")};
 }
--- a/src/net/discovery/endpoint_list.cpp
+++ b/src/net/discovery/endpoint_list.cpp
@@ -38,8 +38,8 @@
     EndpointList list;
     list.version = fields.unsignedInteger("index");
     list.isSnapshot = fields.flag("snapshot");
-    fields.each("endpoints",
-                [&](const Fields& item) { list.endpoints.push_back(readEndpoint(item, vocabulary)); });
+    fields.forEach("endpoints",
+                   [&](const Fields& item) { list.endpoints.push_back(readEndpoint(item, vocabulary)); });
     return list;
 }
 
--- a/src/settings/json_fields.cpp
+++ b/src/settings/json_fields.cpp
@@ -43,7 +43,7 @@
     return found == object_.end() || found->is_null() ? nullptr : &*found;
 }
 
-const Json& Fields::need(const char* key) const {
+const Json& Fields::at(const char* key) const {
     const Json* const value = find(key);
     if (value == nullptr) complain(key, "is missing");
     return *value;
@@ -57,7 +57,7 @@
 }
 
 double Fields::number(const char* key) const {
-    return asNumber(key, need(key));
+    return asNumber(key, at(key));
 }
 
 double Fields::number(const char* key, double defaultValue) const {
@@ -66,7 +66,7 @@
 }
 
 std::uint64_t Fields::unsignedInteger(const char* key) const {
-    const Json& value = need(key);
+    const Json& value = at(key);
     if (!value.is_number_integer() || (!value.is_number_unsigned() && value.get<std::int64_t>() < 0))
         complain(key, "must be a whole number of 0 or more");
     return value.get<std::uint64_t>();
@@ -114,7 +114,7 @@
 }
 
 const std::string& Fields::text(const char* key) const {
-    const Json& value = need(key);
+    const Json& value = at(key);
     if (!value.is_string()) complain(key, wrongType("a string", value));
     return value.get_ref<const std::string&>();
 }
@@ -126,11 +126,11 @@
 // ---- Objects and arrays ---------------------------------------------------------------------------
 
 Fields Fields::object(const char* key) const {
-    return Fields(need(key), path_ + "." + key);
+    return Fields(at(key), path_ + "." + key);
 }
 
-const Json& Fields::needList(const char* key) const {
-    const Json& list = need(key);
+const Json& Fields::arrayAt(const char* key) const {
+    const Json& list = at(key);
     if (!list.is_array()) complain(key, wrongType("an array", list));
     return list;
 }
--- a/src/settings/json_fields.h
+++ b/src/settings/json_fields.h
@@ -44,7 +44,7 @@
     bool has(const char* key) const { return find(key) != nullptr; }
 
     // Returns the field, of any type. Throws FieldError if it is missing.
-    const Json& need(const char* key) const;
+    const Json& at(const char* key) const;
 
     double number(const char* key) const;
     double number(const char* key, double defaultValue) const;
@@ -71,8 +71,8 @@
 
     // Calls `visit` with the Fields of each object in an array.
     template <class Visit>
-    void each(const char* key, Visit&& visit) const {
-        const Json& list = needList(key);
+    void forEach(const char* key, Visit&& visit) const {
+        const Json& list = arrayAt(key);
         for (std::size_t i = 0; i < list.size(); ++i) visit(Fields(list[i], itemPath(key, i)));
     }
 
@@ -89,7 +89,7 @@
     }
 
 private:
-    const Json& needList(const char* key) const;
+    const Json& arrayAt(const char* key) const;
     std::string itemPath(const char* key, std::size_t index) const;
     double asNumber(const char* key, const Json& value) const;
     int asInteger(const char* key, double value) const;
--- a/src/settings/settings_json.cpp
+++ b/src/settings/settings_json.cpp
@@ -86,9 +86,9 @@
 
 Settings readSettings(const Fields& fields) {
     Settings settings;
-    fields.each("classes", [&](const Fields& item) { settings.classes.push_back(readClass(item)); });
+    fields.forEach("classes", [&](const Fields& item) { settings.classes.push_back(readClass(item)); });
     if (fields.has("contracts"))
-        fields.each("contracts", [&](const Fields& item) { settings.plans.push_back(readPlan(item)); });
+        fields.forEach("contracts", [&](const Fields& item) { settings.plans.push_back(readPlan(item)); });
     settings.gatewayIndex = fields.integer("me", 0);
     settings.gatewayCount = fields.integer("balancers");
     settings.zone = ZoneId{fields.integer("locality", 0)};
--- a/src/simulator/wire_reader.cpp
+++ b/src/simulator/wire_reader.cpp
@@ -61,7 +61,7 @@
                                                       {"SAVED", UpdateKind::cached},
                                                       {"FAILED", UpdateKind::failed}});
     if (!fields.has("items")) return update;
-    fields.each("items", [&](const Fields& item) { update.entries.push_back(readEndpoint(item)); });
+    fields.forEach("items", [&](const Fields& item) { update.entries.push_back(readEndpoint(item)); });
     return update;
 }
 
--- a/tests/settings/json_fields_test.cpp
+++ b/tests/settings/json_fields_test.cpp
@@ -42,7 +42,7 @@
 
 TEST_F(FieldsTest, VisitsItemsOfList) {
     std::vector<int> values;
-    fields.each("items", [&](const Fields& item) { values.push_back(item.integer("a")); });
+    fields.forEach("items", [&](const Fields& item) { values.push_back(item.integer("a")); });
     EXPECT_EQ(values, (std::vector<int>{1, 2}));
 }
 
@@ -84,7 +84,7 @@
                        "root.flag: must be a string, found boolean"},
         FieldErrorCase{"NotAnObject", [](const Fields& fields) { fields.object("text"); },
                        "root.text: must be an object, found string"},
-        FieldErrorCase{"NotAList", [](const Fields& fields) { fields.each("text", [](const Fields&) {}); },
+        FieldErrorCase{"NotAList", [](const Fields& fields) { fields.forEach("text", [](const Fields&) {}); },
                        "root.text: must be an array, found string"},
         FieldErrorCase{"UnknownWord",
                        [](const Fields& fields) {
@@ -93,7 +93,7 @@
                        "root.text: must be one of 'a', found 'word'"},
         FieldErrorCase{
             "InItem",
-            [](const Fields& fields) { fields.each("items", [](const Fields& item) { item.text("a"); }); },
+            [](const Fields& fields) { fields.forEach("items", [](const Fields& item) { item.text("a"); }); },
             "root.items[0].a: must be a string, found number"}),
     [](const auto& testCase) { return testCase.param.name; });
 
