--- a/src/net/config/config.cpp
+++ b/src/net/config/config.cpp
@@ -19,9 +19,9 @@
     std::vector<std::string> names;
     const Json* list = fields.find(key);
     if (list == nullptr) return names;
-    if (!list->is_array()) fields.complain(key, "must be an array of strings");
+    if (!list->is_array()) fields.throwError(key, "must be an array of strings");
     for (const Json& name : *list) {
-        if (!name.is_string()) fields.complain(key, "must be an array of strings");
+        if (!name.is_string()) fields.throwError(key, "must be an array of strings");
         names.push_back(name.get<std::string>());
     }
     return names;
@@ -33,7 +33,7 @@
     std::uint64_t seed = 0;
     const auto parsed = std::from_chars(text.data(), end, seed, kHexBase);
     if (parsed.ec != std::errc() || parsed.ptr != end)
-        fields.complain("seed", "must be 1 to 16 hexadecimal digits, found '" + text + "'");
+        fields.throwError("seed", "must be 1 to 16 hexadecimal digits, found '" + text + "'");
     return seed;
 }
 
@@ -59,7 +59,7 @@
     if (!fields.has("limits")) return;
     const int sockets = fields.object("limits").integer("sockets", kDefaultSockets);
     if (sockets < kMinSockets)
-        fields.complain("limits.sockets", "must be 64 or more, found " + std::to_string(sockets));
+        fields.throwError("limits.sockets", "must be 64 or more, found " + std::to_string(sockets));
     config.sockets = static_cast<std::size_t>(sockets);
 }
 
@@ -67,7 +67,7 @@
     const Fields settings = fields.object("settings");
     config.settings = readSettings(settings);
     if (config.settings.counterEnabled && !config.counter)
-        fields.complain("counter", "is missing, but settings.domain.mayCount is true");
+        fields.throwError("counter", "is missing, but settings.domain.mayCount is true");
     settings.forEach("classes", [&](const Fields& item) { config.classNames.push_back(item.text("name")); });
     if (settings.has("contracts"))
         settings.forEach("contracts",
--- a/src/settings/json_fields.cpp
+++ b/src/settings/json_fields.cpp
@@ -29,10 +29,10 @@
 }
 
 Fields::Fields(const Json& object, std::string path) : object_(object), path_(std::move(path)) {
-    if (!object_.is_object()) complain("", wrongType("an object", object_));
+    if (!object_.is_object()) throwError("", wrongType("an object", object_));
 }
 
-void Fields::complain(const std::string& key, const std::string& reason) const {
+void Fields::throwError(const std::string& key, const std::string& reason) const {
     throw FieldError(key.empty() ? path_ : path_ + "." + key, reason);
 }
 
@@ -45,14 +45,14 @@
 
 const Json& Fields::at(const char* key) const {
     const Json* const value = find(key);
-    if (value == nullptr) complain(key, "is missing");
+    if (value == nullptr) throwError(key, "is missing");
     return *value;
 }
 
 // ---- Numbers --------------------------------------------------------------------------------------
 
 double Fields::asNumber(const char* key, const Json& value) const {
-    if (!value.is_number()) complain(key, wrongType("a number", value));
+    if (!value.is_number()) throwError(key, wrongType("a number", value));
     return value.get<double>();
 }
 
@@ -68,13 +68,13 @@
 std::uint64_t Fields::unsignedInteger(const char* key) const {
     const Json& value = at(key);
     if (!value.is_number_integer() || (!value.is_number_unsigned() && value.get<std::int64_t>() < 0))
-        complain(key, "must be a whole number of 0 or more");
+        throwError(key, "must be a whole number of 0 or more");
     return value.get<std::uint64_t>();
 }
 
 int Fields::asInteger(const char* key, double value) const {
     if (value != std::floor(value) || std::abs(value) > kMaxInteger)
-        complain(key, "must be a whole number from -2000000000 to 2000000000");
+        throwError(key, "must be a whole number from -2000000000 to 2000000000");
     return static_cast<int>(value);
 }
 
@@ -109,13 +109,13 @@
 bool Fields::flag(const char* key) const {
     const Json* const value = find(key);
     if (value == nullptr) return false;
-    if (!value->is_boolean()) complain(key, wrongType("true or false", *value));
+    if (!value->is_boolean()) throwError(key, wrongType("true or false", *value));
     return value->get<bool>();
 }
 
 const std::string& Fields::text(const char* key) const {
     const Json& value = at(key);
-    if (!value.is_string()) complain(key, wrongType("a string", value));
+    if (!value.is_string()) throwError(key, wrongType("a string", value));
     return value.get_ref<const std::string&>();
 }
 
@@ -131,7 +131,7 @@
 
 const Json& Fields::arrayAt(const char* key) const {
     const Json& list = at(key);
-    if (!list.is_array()) complain(key, wrongType("an array", list));
+    if (!list.is_array()) throwError(key, wrongType("an array", list));
     return list;
 }
 
--- a/src/settings/json_fields.h
+++ b/src/settings/json_fields.h
@@ -37,7 +37,7 @@
     Fields(const Json& object, std::string path);
 
     // Throws FieldError for a field of this object, or for the object itself if `key` is empty.
-    [[noreturn]] void complain(const std::string& key, const std::string& reason) const;
+    [[noreturn]] void throwError(const std::string& key, const std::string& reason) const;
 
     // Returns null if the field is missing.
     const Json* find(const char* key) const;
@@ -85,7 +85,7 @@
         std::string expected;
         for (const Choice<Value>& choice : choices)
             expected += (expected.empty() ? "'" : ", '") + std::string(choice.word) + "'";
-        complain(key, "must be one of " + expected + ", found '" + word + "'");
+        throwError(key, "must be one of " + expected + ", found '" + word + "'");
     }
 
 private:
--- a/src/settings/settings_json.cpp
+++ b/src/settings/settings_json.cpp
@@ -100,7 +100,7 @@
     readRules(fields.object("rules"), settings);
     if (fields.has("penalties"))
         settings.crossZonePenalty = fields.object("penalties").number("crossZone", 0);
-    if (const auto problem = validate(settings)) fields.complain(problem->field, problem->reason);
+    if (const auto problem = validate(settings)) fields.throwError(problem->field, problem->reason);
     return settings;
 }
 
--- a/src/simulator/batch_server.cpp
+++ b/src/simulator/batch_server.cpp
@@ -33,14 +33,14 @@
         beginBatch(fields);
         return std::nullopt;
     }
-    if (!isInBatch_) fields.complain("", "is outside a batch");
+    if (!isInBatch_) fields.throwError("", "is outside a batch");
     if (name == "eofBatch") return endBatch();
     handleMessage(name, fields);
     return std::nullopt;
 }
 
 void BatchServer::beginBatch(const Fields& fields) {
-    if (isInBatch_) fields.complain("", "the batch before has not ended");
+    if (isInBatch_) fields.throwError("", "the batch before has not ended");
     now_ = fields.timePoint("momentS");
     isInBatch_ = true;
 }
@@ -60,7 +60,7 @@
     }
     const auto found = gateways_.find(number);
     if (found == gateways_.end())
-        fields.complain("gatekeeper", "number " + std::to_string(number) + " was never enlisted");
+        fields.throwError("gatekeeper", "number " + std::to_string(number) + " was never enlisted");
     if (name == "shutdown") {
         gateways_.erase(found);
         return;
@@ -93,10 +93,10 @@
 // The engine expects indices that its settings have.
 void BatchServer::checkIndices(const Gateway& gateway, const RequestArrived& arrival, const Fields& fields) {
     const int classIndex = static_cast<int>(arrival.requestClass);
-    if (classIndex < 0 || classIndex >= gateway.classCount) fields.complain("priority", "no such class");
+    if (classIndex < 0 || classIndex >= gateway.classCount) fields.throwError("priority", "no such class");
     const int plan = static_cast<int>(arrival.plan);
     if (plan < 0 || (gateway.planCount > 0 && plan >= gateway.planCount))
-        fields.complain("contract", "no such plan");
+        fields.throwError("contract", "no such plan");
 }
 
 }  // namespace gateway::simulator
--- a/src/simulator/wire_reader.cpp
+++ b/src/simulator/wire_reader.cpp
@@ -18,7 +18,7 @@
 void checkHex(const Fields& fields, const char* key) {
     const std::string& hex = fields.text(key);
     if (hex.size() % 2 != 0 || hex.find_first_not_of("0123456789abcdefABCDEF") != std::string::npos)
-        fields.complain(key, "must be pairs of hex digits");
+        fields.throwError(key, "must be pairs of hex digits");
 }
 
 Outcome readOutcome(const Fields& fields) {
@@ -108,7 +108,7 @@
     const std::string& digits = fields.text("ref");
     const bool isNumber = !digits.empty() && digits.size() <= kMaxTimerDigits &&
                           digits.find_first_not_of("0123456789") == std::string::npos;
-    if (!isNumber) fields.complain("ref", "is no timer of ours: '" + digits + "'");
+    if (!isNumber) fields.throwError("ref", "is no timer of ours: '" + digits + "'");
     return {TimerId{std::stoull(digits)}};
 }
 
@@ -139,7 +139,7 @@
     else if (name == "memo")
         checkPeerMessage(fields);
     else
-        fields.complain("", "unknown message");
+        fields.throwError("", "unknown message");
     return std::nullopt;
 }
 
