--- a/src/net/discovery/watch_stream.cpp
+++ b/src/net/discovery/watch_stream.cpp
@@ -44,7 +44,7 @@
     while (input().size() > 0) {
         const std::size_t sizeBefore = input().size();
         error_code ec;
-        const bool goesOn = readInput(ec);
+        const bool goesOn = readResponse(ec);
         if (!goesOn || ec == http::error::need_more) return;
         if (!ec && parser_->is_done() && needsSnapshot_) {
             if (!finishSnapshot()) return;
@@ -60,7 +60,7 @@
 
 // Continues to read the response, and passes the documents of a watch to the observer. Returns false if the
 // stream has ended. Otherwise sets `ec` to the parser's result.
-bool WatchStream::readInput(error_code& ec) {
+bool WatchStream::readResponse(error_code& ec) {
     const std::size_t used = parser_->put(input().data(), ec);
     input().consume(used);
     if (!parser_->is_header_done()) return true;
--- a/src/net/discovery/watch_stream.h
+++ b/src/net/discovery/watch_stream.h
@@ -62,7 +62,7 @@
     void onClosed() override { observer_.onEnded(*this); }
 
     void sendRequest();
-    bool readInput(error_code& ec);
+    bool readResponse(error_code& ec);
     void readDocuments();
     bool finishSnapshot();
     void noteListStarted();
