--- a/src/net/config/config.cpp
+++ b/src/net/config/config.cpp
@@ -79,7 +79,7 @@
 }  // namespace
 
 Config readConfig(const std::string& text, ConfigLoad load) {
-    return readInput<ConfigError>([&] {
+    return rethrowFieldErrorAs<ConfigError>([&] {
         const Json document = parseJson(text, "config");
         const Fields fields(document, "config");
         Config config;
--- a/src/net/discovery/endpoint_list.cpp
+++ b/src/net/discovery/endpoint_list.cpp
@@ -44,7 +44,7 @@
 }
 
 EndpointList parseEndpointList(std::string_view text, const EndpointVocabulary& vocabulary) {
-    return readInput<EndpointListError>([&] {
+    return rethrowFieldErrorAs<EndpointListError>([&] {
         const Json document = parseJson(text, "targets");
         return readEndpointList(Fields(document, "targets"), vocabulary);
     });
--- a/src/settings/input_error.h
+++ b/src/settings/input_error.h
@@ -27,8 +27,8 @@
     std::string reason_;
 };
 
-// A missing or invalid field of a JSON document. readInput() converts it to the error type of the document's
-// source.
+// A missing or invalid field of a JSON document. rethrowFieldErrorAs() converts it to the error type of the
+// document's source.
 class FieldError final : public InputError {
     using InputError::InputError;
 };
@@ -50,7 +50,7 @@
 
 // Calls `read` and returns its result. If `read` throws a FieldError, throws it as an `Error` instead.
 template <class Error, class Read>
-auto readInput(Read&& read) {
+auto rethrowFieldErrorAs(Read&& read) {
     try {
         return std::forward<Read>(read)();
     } catch (const FieldError& e) {
