--- a/src/simulator/wire_server.h
+++ b/src/simulator/wire_server.h
@@ -8,8 +8,9 @@
 
 namespace gateway::simulator {
 
-// Reads batches of events from `in` and writes a reply to each to `out`, until `in` ends. Throws WireError,
-// with the number of the line, at the first malformed line, and if `in` ends within a batch.
+// Reads batches of events from `in` and writes a reply to each to `out`, until `in` ends. Throws
+// SimulatorInputError, with the number of the line, at the first malformed line, and if `in` ends within a
+// batch.
 void serve(std::istream& in, std::ostream& out);
 
 }  // namespace gateway::simulator
--- a/tests/simulator/wire_server_test.cpp
+++ b/tests/simulator/wire_server_test.cpp
@@ -45,7 +45,7 @@
 std::string errorOf(const std::string& input) {
     try {
         replyTo(input);
-    } catch (const WireError& e) {
+    } catch (const SimulatorInputError& e) {
         return e.what();
     }
     return "";
