--- a/src/net/client/client_request.cpp
+++ b/src/net/client/client_request.cpp
@@ -140,18 +140,19 @@
     return true;
 }
 
-bool readTimeout(string_view text, const RequestClass& terms, TimePoint receivedAt, RequestArrived& arrival) {
+bool readTimeout(string_view text, const RequestClass& requestClass, TimePoint receivedAt,
+                 RequestArrived& arrival) {
     const auto timeoutMs = parseNumber<std::uint32_t>(text);
     if (!timeoutMs || *timeoutMs == 0) return false;
-    const Duration maxTimeout = kMaxTimeoutInDeadlines * terms.deadline;
+    const Duration maxTimeout = kMaxTimeoutInDeadlines * requestClass.deadline;
     arrival.deadline = receivedAt + std::min<Duration>(std::chrono::milliseconds(*timeoutMs), maxTimeout);
     return true;
 }
 
 // ---- Whole requests -------------------------------------------------------------------------------
 
-http::verb methodOf(const RequestClass& terms) {
-    return terms.idempotency == Idempotency::safe ? http::verb::get : http::verb::post;
+http::verb methodOf(const RequestClass& requestClass) {
+    return requestClass.idempotency == Idempotency::safe ? http::verb::get : http::verb::post;
 }
 
 // Reads the headers into `arrival`, and checks the body. Returns the first invalid part of the request, or
@@ -159,17 +160,18 @@
 std::optional<RequestField> readHeaders(const HttpRequest& message, const RequestRules& rules,
                                         TimePoint receivedAt, RequestArrived& arrival) {
     const int classIndex = static_cast<int>(arrival.requestClass);
-    const RequestClass& terms = rules.classes[toPosition(arrival.requestClass)];
+    const RequestClass& requestClass = rules.classes[toPosition(arrival.requestClass)];
     if (findIndex(message["Request-Class"], rules.classNames) != classIndex)
         return RequestField::requestClass;
     if (!readPlan(message["X-Contract"], rules, arrival)) return RequestField::plan;
     if (!readRequestId(message["Request-Id"], arrival)) return RequestField::requestId;
     if (!readTenant(message["X-Client-Id"], arrival)) return RequestField::tenant;
-    if (!readTimeout(message["Request-Timeout-Ms"], terms, receivedAt, arrival)) return RequestField::timeout;
+    if (!readTimeout(message["Request-Timeout-Ms"], requestClass, receivedAt, arrival))
+        return RequestField::timeout;
     if (!readMetering(message["X-Metering"], rules, arrival)) return RequestField::metering;
-    if (terms.idempotency == Idempotency::withKey && message["Idempotency-Key"].empty())
+    if (requestClass.idempotency == Idempotency::withKey && message["Idempotency-Key"].empty())
         return RequestField::idempotencyKey;
-    if (terms.idempotency == Idempotency::safe && !message.body().empty()) return RequestField::body;
+    if (requestClass.idempotency == Idempotency::safe && !message.body().empty()) return RequestField::body;
     arrival.isRetry = message["Client-Retry"] == "1";
     return std::nullopt;
 }
--- a/src/settings/settings_json.cpp
+++ b/src/settings/settings_json.cpp
@@ -4,23 +4,23 @@
 namespace {
 
 RequestClass readClass(const Fields& fields) {
-    RequestClass terms;
-    terms.idempotency = fields.choice<Idempotency>(
+    RequestClass requestClass;
+    requestClass.idempotency = fields.choice<Idempotency>(
         "effect",
         {{"safe", Idempotency::safe}, {"keyed", Idempotency::withKey}, {"unsafe", Idempotency::none}});
     if (fields.has("group"))
-        terms.deduplicationScope =
+        requestClass.deduplicationScope =
             fields.choice<DeduplicationScope>("group", {{"all", DeduplicationScope::all},
                                                         {"zone", DeduplicationScope::zone},
                                                         {"cell", DeduplicationScope::cell}});
-    terms.idempotencyWindow = fields.seconds("windowS", 0);
-    terms.latencyObjective = fields.seconds("aimS");
-    terms.latencyObjectiveStretch = fields.number("aimStretch", 0);
-    terms.deadline = fields.seconds("deadlineS");
-    terms.lateWeight = fields.number("lateWorth", 0);
-    terms.priorityWeight = fields.number("points", 1);
-    terms.streamed = fields.flag("streamed");
-    return terms;
+    requestClass.idempotencyWindow = fields.seconds("windowS", 0);
+    requestClass.latencyObjective = fields.seconds("aimS");
+    requestClass.latencyObjectiveStretch = fields.number("aimStretch", 0);
+    requestClass.deadline = fields.seconds("deadlineS");
+    requestClass.lateWeight = fields.number("lateWorth", 0);
+    requestClass.priorityWeight = fields.number("points", 1);
+    requestClass.streamed = fields.flag("streamed");
+    return requestClass;
 }
 
 QuotaPlan readPlan(const Fields& fields) {
--- a/src/settings/settings_validation.cpp
+++ b/src/settings/settings_validation.cpp
@@ -53,11 +53,11 @@
     check.requireNotNegative(settings.overloadWindow, "overloadWindow");
 }
 
-void checkClass(Checker& check, const RequestClass& terms) {
-    check.requirePositive(terms.latencyObjective, "latencyObjective");
-    check.requirePositive(terms.deadline, "deadline");
-    check.requireNotNegative(terms.idempotencyWindow, "idempotencyWindow");
-    check.requireNotNegative(terms.latencyObjectiveStretch, "latencyObjectiveStretch");
+void checkClass(Checker& check, const RequestClass& requestClass) {
+    check.requirePositive(requestClass.latencyObjective, "latencyObjective");
+    check.requirePositive(requestClass.deadline, "deadline");
+    check.requireNotNegative(requestClass.idempotencyWindow, "idempotencyWindow");
+    check.requireNotNegative(requestClass.latencyObjectiveStretch, "latencyObjectiveStretch");
 }
 
 void checkPlan(Checker& check, const QuotaPlan& plan) {
