--- a/src/settings/settings_json.cpp
+++ b/src/settings/settings_json.cpp
@@ -3,7 +3,7 @@
 namespace gateway {
 namespace {
 
-RequestClass readClass(const Fields& fields) {
+RequestClass readRequestClass(const Fields& fields) {
     RequestClass requestClass;
     requestClass.idempotency = fields.choice<Idempotency>(
         "effect",
@@ -86,7 +86,8 @@
 
 Settings readSettings(const Fields& fields) {
     Settings settings;
-    fields.forEach("classes", [&](const Fields& item) { settings.classes.push_back(readClass(item)); });
+    fields.forEach("classes",
+                   [&](const Fields& item) { settings.classes.push_back(readRequestClass(item)); });
     if (fields.has("contracts"))
         fields.forEach("contracts", [&](const Fields& item) { settings.plans.push_back(readPlan(item)); });
     settings.gatewayIndex = fields.integer("me", 0);
