--- a/src/main.cpp
+++ b/src/main.cpp
@@ -7,8 +7,7 @@
 
 int main() {
     try {
-        gateway::net::serve(gateway::net::configFromEnvironment(),
-                            [](const gateway::net::Config::Address&) {});
+        gateway::net::serve(gateway::net::loadConfig(), [](const gateway::net::Config::Address&) {});
     } catch (const std::exception& e) {
         std::cerr << "gateway: " << e.what() << '\n';
         return 1;
--- a/src/net/config/config.cpp
+++ b/src/net/config/config.cpp
@@ -92,7 +92,7 @@
     });
 }
 
-Config configFromEnvironment(ConfigLoad load) {
+Config loadConfig(ConfigLoad load) {
     const char* const path = std::getenv("EDGE_CONFIG");
     if (path == nullptr || *path == '\0')
         throw ConfigError("EDGE_CONFIG", "is not set; it must name the configuration file");
--- a/src/net/config/config.h
+++ b/src/net/config/config.h
@@ -69,6 +69,6 @@
 
 // Reads the configuration from the file that EDGE_CONFIG names and from the environment variables that
 // override it. Throws ConfigError.
-Config configFromEnvironment(ConfigLoad load = ConfigLoad::initial);
+Config loadConfig(ConfigLoad load = ConfigLoad::initial);
 
 }  // namespace gateway::net
--- a/src/net/server/service.cpp
+++ b/src/net/server/service.cpp
@@ -41,7 +41,7 @@
     void reload() {
         try {
             server_.ensureDescriptor();
-            server_.reload(configFromEnvironment(ConfigLoad::reload));
+            server_.reload(loadConfig(ConfigLoad::reload));
         } catch (const std::exception& e) {
             log(LogLevel::error, "SIGHUP", e.what());
         }
