--- a/src/net/config/config.cpp
+++ b/src/net/config/config.cpp
@@ -87,7 +87,8 @@
         config.seed = readSeed(fields);
         readLimits(fields, config);
         readGatewaySettings(fields, config);
-        if (fields.has("known")) config.known = readEndpointList(fields.object("known"), config.vocabulary);
+        if (fields.has("known"))
+            config.cachedEndpoints = readEndpointList(fields.object("known"), config.vocabulary);
         return config;
     });
 }
--- a/src/net/config/config.h
+++ b/src/net/config/config.h
@@ -55,7 +55,7 @@
     std::vector<std::string> planNames;   // in the order of Settings::plans
     Duration keepAlive{};                 // an endpoint closes a connection that is idle for this long
     EndpointVocabulary vocabulary;
-    EndpointList known;  // the endpoint list to start with; may be outdated
+    EndpointList cachedEndpoints;  // the endpoint list to start with; may be outdated
     Timing timing;
 };
 
--- a/src/net/server/component_options.cpp
+++ b/src/net/server/component_options.cpp
@@ -47,7 +47,7 @@
 }
 
 DiscoveryClient::Options discoveryClientOptions(const Config& config, ReclaimDescriptor reclaimDescriptor) {
-    return {config.discovery, config.vocabulary, config.known.version, discoverySchedule(config),
+    return {config.discovery, config.vocabulary, config.cachedEndpoints.version, discoverySchedule(config),
             std::move(reclaimDescriptor)};
 }
 
--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -106,7 +106,7 @@
 // ---- Start, reload, shutdown ----------------------------------------------------------------------
 
 void GatewayServer::start() {
-    handleEndpointList(config_.known, UpdateKind::cached);
+    handleEndpointList(config_.cachedEndpoints, UpdateKind::cached);
     readiness_.start(config_.settings.discovery == DiscoveryMode::push);
     discovery_.start();
     clients_.listen(config_.listen);
