--- a/src/net/config/config.cpp
+++ b/src/net/config/config.cpp
@@ -10,8 +10,8 @@
 namespace gateway::net {
 namespace {
 
-constexpr int kDefaultSockets = 1024;
-constexpr int kMinSockets = 64;
+constexpr int kDefaultMaxDescriptors = 1024;
+constexpr int kMinMaxDescriptors = 64;
 constexpr double kDefaultKeepAliveSeconds = 15;
 constexpr int kHexBase = 16;
 
@@ -57,10 +57,10 @@
 
 void readLimits(const Fields& fields, Config& config) {
     if (!fields.has("limits")) return;
-    const int sockets = fields.object("limits").integer("sockets", kDefaultSockets);
-    if (sockets < kMinSockets)
-        fields.throwError("limits.sockets", "must be 64 or more, found " + std::to_string(sockets));
-    config.sockets = static_cast<std::size_t>(sockets);
+    const int maxDescriptors = fields.object("limits").integer("sockets", kDefaultMaxDescriptors);
+    if (maxDescriptors < kMinMaxDescriptors)
+        fields.throwError("limits.sockets", "must be 64 or more, found " + std::to_string(maxDescriptors));
+    config.maxDescriptors = static_cast<std::size_t>(maxDescriptors);
 }
 
 void readGatewaySettings(const Fields& fields, Config& config) {
--- a/src/net/config/config.h
+++ b/src/net/config/config.h
@@ -47,9 +47,9 @@
     std::string name;
     Address listen;
     Address discovery;
-    std::optional<Address> counter;  // set if Settings::counterEnabled
-    std::uint64_t seed = 0;          // of the random number generators
-    std::size_t sockets = 1024;      // file descriptors that the process may hold
+    std::optional<Address> counter;     // set if Settings::counterEnabled
+    std::uint64_t seed = 0;             // of the random number generators
+    std::size_t maxDescriptors = 1024;  // file descriptors that the process may hold
     Settings settings;
     std::vector<std::string> classNames;  // in the order of Settings::classes
     std::vector<std::string> planNames;   // in the order of Settings::plans
--- a/src/net/server/component_options.cpp
+++ b/src/net/server/component_options.cpp
@@ -20,7 +20,7 @@
 
 ClientServer::Limits clientServerLimits(const Config& config) {
     ClientServer::Limits limits;
-    limits.connections = config.sockets * kClientDescriptorPercent / 100;
+    limits.connections = config.maxDescriptors * kClientDescriptorPercent / 100;
     limits.listenAfterShutdown = config.timing.listenAfterShutdown;
     limits.idleGracePeriod = config.timing.idleGracePeriod;
     limits.maxPartialTime = config.timing.maxPartialTime;
@@ -29,7 +29,7 @@
 
 UpstreamPool::Limits upstreamPoolLimits(const Config& config, ReclaimDescriptor reclaimDescriptor) {
     UpstreamPool::Limits limits;
-    limits.connections = config.sockets * kUpstreamDescriptorPercent / 100;
+    limits.connections = config.maxDescriptors * kUpstreamDescriptorPercent / 100;
     limits.connectTimeout = config.settings.connectTimeout;
     limits.keepAlive = config.keepAlive;
     limits.reuseDelay = config.timing.reuseDelay;
--- a/tests/net/config/config_test.cpp
+++ b/tests/net/config/config_test.cpp
@@ -36,7 +36,7 @@
     EXPECT_EQ(config.discovery, parseAddress("127.0.0.1:1", "test"));
     EXPECT_FALSE(config.counter);
     EXPECT_EQ(config.seed, 0x8c1f30d27a5be964U);
-    EXPECT_EQ(config.sockets, 1024U);
+    EXPECT_EQ(config.maxDescriptors, 1024U);
     EXPECT_EQ(config.classNames, std::vector<std::string>{"load"});
     EXPECT_EQ(config.planNames, (std::vector<std::string>{"team", "free"}));
     EXPECT_EQ(config.vocabulary.zones, (std::vector<std::string>{"a", "b"}));
