--- a/src/net/config/config.cpp
+++ b/src/net/config/config.cpp
@@ -72,7 +72,7 @@
     if (settings.has("contracts"))
         settings.forEach("contracts",
                          [&](const Fields& item) { config.planNames.push_back(item.text("name")); });
-    config.keepAlive = settings.object("allowed").seconds("keepaliveS", kDefaultKeepAliveSeconds);
+    config.upstreamKeepAlive = settings.object("allowed").seconds("keepaliveS", kDefaultKeepAliveSeconds);
     config.vocabulary = {readNames(settings, "zones"), readNames(settings, "kinds")};
 }
 
--- a/src/net/config/config.h
+++ b/src/net/config/config.h
@@ -53,7 +53,7 @@
     Settings settings;
     std::vector<std::string> classNames;  // in the order of Settings::classes
     std::vector<std::string> planNames;   // in the order of Settings::plans
-    Duration keepAlive{};                 // an endpoint closes a connection that is idle for this long
+    Duration upstreamKeepAlive{};         // an endpoint closes a connection that is idle for this long
     EndpointVocabulary vocabulary;
     EndpointList cachedEndpoints;  // the endpoint list to start with; may be outdated
     Timing timing;
--- a/src/net/server/component_options.cpp
+++ b/src/net/server/component_options.cpp
@@ -31,7 +31,7 @@
     UpstreamPool::Limits limits;
     limits.connections = config.maxDescriptors * kUpstreamDescriptorPercent / 100;
     limits.connectTimeout = config.settings.connectTimeout;
-    limits.keepAlive = config.keepAlive;
+    limits.keepAlive = config.upstreamKeepAlive;
     limits.reuseDelay = config.timing.reuseDelay;
     limits.drainGracePeriod = config.settings.drainGracePeriod;
     limits.reclaimDescriptor = std::move(reclaimDescriptor);
