--- a/src/net/client/client_server.cpp
+++ b/src/net/client/client_server.cpp
@@ -134,9 +134,10 @@
     std::vector<SessionPtr> unused;
     const auto now = steady_clock::now();
     for (const SessionPtr& session : sessions_) {
-        const Duration maxTime = session->allWritten() ? limits_.maxPartialTime : limits_.maxUndeliveredTime;
+        const Duration maxTime =
+            session->allWritten() ? limits_.requestReadTimeout : limits_.maxUndeliveredTime;
         if (session->stuckFor(clock_.now()) > maxTime) stuck.push_back(session);
-        if (now - session->activeAt() > limits_.maxPartialTime && session->hasExchangedNothing())
+        if (now - session->activeAt() > limits_.requestReadTimeout && session->hasExchangedNothing())
             unused.push_back(session);
     }
     for (const SessionPtr& session : unused) session->end();
--- a/src/net/config/config.h
+++ b/src/net/config/config.h
@@ -21,7 +21,7 @@
     static constexpr Duration kInitialUpdateWait = std::chrono::milliseconds(500);
     static constexpr Duration kEmptyListWait = std::chrono::seconds(5);
     static constexpr Duration kReuseDelay = std::chrono::milliseconds(10);
-    static constexpr Duration kMaxPartialTime = std::chrono::seconds(2);
+    static constexpr Duration kRequestReadTimeout = std::chrono::seconds(2);
 
     // Time from SIGTERM until the listener closes. New clients connect until they notice the shutdown.
     Duration listenAfterShutdown = kListenAfterShutdown;
@@ -38,7 +38,7 @@
     // this time is detected instead of being taken for the response to the next request.
     Duration reuseDelay = kReuseDelay;
     // Time for a client to start the first request on a connection, and to send a request completely.
-    Duration maxPartialTime = kMaxPartialTime;
+    Duration requestReadTimeout = kRequestReadTimeout;
 };
 
 struct Config {
--- a/src/net/server/component_options.cpp
+++ b/src/net/server/component_options.cpp
@@ -23,7 +23,7 @@
     limits.connections = config.maxDescriptors * kClientDescriptorPercent / 100;
     limits.listenAfterShutdown = config.timing.listenAfterShutdown;
     limits.idleGracePeriod = config.timing.idleGracePeriod;
-    limits.maxPartialTime = config.timing.maxPartialTime;
+    limits.requestReadTimeout = config.timing.requestReadTimeout;
     return limits;
 }
 
--- a/tests/integration/client_limits_test.cpp
+++ b/tests/integration/client_limits_test.cpp
@@ -28,7 +28,7 @@
 }
 
 TEST_F(ClientLimitsTest, AnswersIncompleteRequestWith408AndCloses) {
-    options.timing.maxPartialTime = std::chrono::milliseconds(100);
+    options.timing.requestReadTimeout = std::chrono::milliseconds(100);
     const GatewayProcess gateway(options);
     Socket client = gateway.connectClient();
     client.write("GET /load HTTP/1.1\r\nHost:");
@@ -37,7 +37,7 @@
 }
 
 TEST_F(ClientLimitsTest, ClosesConnectionWithoutRequestAndKeepsUsedOne) {
-    options.timing.maxPartialTime = std::chrono::milliseconds(300);
+    options.timing.requestReadTimeout = std::chrono::milliseconds(300);
     const GatewayProcess gateway(options);
     Socket used = gateway.connectClient();
     expectReady(used);
--- a/tests/integration/descriptor_reclaim_test.cpp
+++ b/tests/integration/descriptor_reclaim_test.cpp
@@ -27,7 +27,7 @@
         GatewayOptions options = optionsWithEndpoint(endpoint, withCounter(settings, Seconds(20)));
         options.maxSockets = GetParam().configured;
         options.maxDescriptors = GetParam().system;
-        options.timing.maxPartialTime = std::chrono::hours(1);  // silent clients stay, too
+        options.timing.requestReadTimeout = std::chrono::hours(1);  // silent clients stay, too
         options.counter = counter.address();
         options.discovery = discovery.address();
         startGateway(options);
--- a/tests/integration/request_validation_test.cpp
+++ b/tests/integration/request_validation_test.cpp
@@ -106,7 +106,7 @@
 TEST(PartialRequestTest, TimesOutFirstRequestByAgeOfItsConnection) {
     const Server endpoint;
     GatewayOptions options = optionsWithEndpoint(endpoint);
-    options.timing.maxPartialTime = std::chrono::milliseconds(1500);
+    options.timing.requestReadTimeout = std::chrono::milliseconds(1500);
     const GatewayProcess gateway(options);
     Socket late = gateway.connectClient();
     Socket early = gateway.connectClient();
--- a/tests/support/gateway_options.h
+++ b/tests/support/gateway_options.h
@@ -88,7 +88,7 @@
     Milliseconds initialUpdateWait{0};
     Milliseconds reuseDelay{0};
     std::optional<Milliseconds> emptyListWait = {};
-    std::optional<Milliseconds> maxPartialTime = {};
+    std::optional<Milliseconds> requestReadTimeout = {};
 };
 
 struct GatewayOptions {
--- a/tests/support/gateway_process.cpp
+++ b/tests/support/gateway_process.cpp
@@ -36,7 +36,7 @@
     timing.initialUpdateWait = spec.initialUpdateWait;
     timing.reuseDelay = spec.reuseDelay;
     if (spec.emptyListWait) timing.emptyListWait = *spec.emptyListWait;
-    if (spec.maxPartialTime) timing.maxPartialTime = *spec.maxPartialTime;
+    if (spec.requestReadTimeout) timing.requestReadTimeout = *spec.requestReadTimeout;
     return timing;
 }
 
