--- a/src/net/client/client_server.cpp
+++ b/src/net/client/client_server.cpp
@@ -135,7 +135,7 @@
     const auto now = steady_clock::now();
     for (const SessionPtr& session : sessions_) {
         const Duration maxTime =
-            session->allWritten() ? limits_.requestReadTimeout : limits_.maxUndeliveredTime;
+            session->allWritten() ? limits_.requestReadTimeout : limits_.responseWriteTimeout;
         if (session->stuckFor(clock_.now()) > maxTime) stuck.push_back(session);
         if (now - session->activeAt() > limits_.requestReadTimeout && session->hasExchangedNothing())
             unused.push_back(session);
--- a/src/net/client/client_server.h
+++ b/src/net/client/client_server.h
@@ -22,7 +22,7 @@
         Duration idleGracePeriod{};      // time from drain() until idle connections are closed
         // Time for a client to start the first request on a connection, and to send a request completely.
         Duration requestReadTimeout{};
-        Duration maxUndeliveredTime = std::chrono::seconds(10);  // for a client to receive a response
+        Duration responseWriteTimeout = std::chrono::seconds(10);  // for a client to receive a response
     };
     // The functions of ClientSessionObserver that the server delegates to its owner.
     struct Hooks {
