--- a/src/net/config/config.cpp
+++ b/src/net/config/config.cpp
@@ -10,8 +10,8 @@
 namespace gateway::net {
 namespace {
 
-constexpr int kDefaultMaxDescriptors = 1024;
-constexpr int kMinMaxDescriptors = 64;
+constexpr int kDefaultDescriptorLimit = 1024;
+constexpr int kMinDescriptorLimit = 64;
 constexpr double kDefaultKeepAliveSeconds = 15;
 constexpr int kHexBase = 16;
 
@@ -57,8 +57,8 @@
 
 void readLimits(const Fields& fields, Config& config) {
     if (!fields.has("limits")) return;
-    const int maxDescriptors = fields.object("limits").integer("sockets", kDefaultMaxDescriptors);
-    if (maxDescriptors < kMinMaxDescriptors)
+    const int maxDescriptors = fields.object("limits").integer("sockets", kDefaultDescriptorLimit);
+    if (maxDescriptors < kMinDescriptorLimit)
         fields.throwError("limits.sockets", "must be 64 or more, found " + std::to_string(maxDescriptors));
     config.maxDescriptors = static_cast<std::size_t>(maxDescriptors);
 }
