--- a/src/net/client/client_server.cpp
+++ b/src/net/client/client_server.cpp
@@ -16,7 +16,7 @@
 constexpr Duration kSweepPeriod = milliseconds(250);
 constexpr Duration kDrainSweepPeriod = milliseconds(50);
 constexpr Duration kFirstRequestGrace = milliseconds(150);  // for a new connection, while draining
-constexpr Duration kMaxStuckTimeWhileDraining = std::chrono::seconds(1);
+constexpr Duration kMaxStallTimeWhileDraining = std::chrono::seconds(1);
 
 }  // namespace
 
@@ -40,7 +40,7 @@
     acceptor_.non_blocking(true);
     isListening_ = true;
     accept();
-    timers_.after(kSweepPeriod, [this] { endStuckSessions(); });
+    timers_.after(kSweepPeriod, [this] { endStalledSessions(); });
 }
 
 void ClientServer::accept() {
@@ -128,26 +128,26 @@
 
 // Ends the sessions of clients that do not send a request, do not complete one or do not receive a response
 // in time. Otherwise each such client would hold a descriptor forever.
-void ClientServer::endStuckSessions() {
+void ClientServer::endStalledSessions() {
     if (isDraining_) return;
-    std::vector<SessionPtr> stuck;
+    std::vector<SessionPtr> stalled;
     std::vector<SessionPtr> unused;
     const auto now = steady_clock::now();
     for (const SessionPtr& session : sessions_) {
         const Duration maxTime =
             session->allWritten() ? limits_.requestReadTimeout : limits_.responseWriteTimeout;
-        if (session->stuckFor(clock_.now()) > maxTime) stuck.push_back(session);
+        if (session->stalledFor(clock_.now()) > maxTime) stalled.push_back(session);
         if (now - session->activeAt() > limits_.requestReadTimeout && session->hasExchangedNothing())
             unused.push_back(session);
     }
     for (const SessionPtr& session : unused) session->end();
-    for (const SessionPtr& session : stuck) {
+    for (const SessionPtr& session : stalled) {
         if (session->allWritten())
             session->answerAndClose(http::status::request_timeout);
         else
             session->end();
     }
-    timers_.after(kSweepPeriod, [this] { endStuckSessions(); });
+    timers_.after(kSweepPeriod, [this] { endStalledSessions(); });
 }
 
 // ---- Shutdown -------------------------------------------------------------------------------------
@@ -183,7 +183,7 @@
     for (const SessionPtr& session : sessions_) {
         const bool isNew = session->isFresh() && now - session->activeAt() <= kFirstRequestGrace;
         if (session->isIdle() && !isNew && !session->hasInput()) ended.push_back(session);
-        if (session->stuckFor(clock_.now()) > kMaxStuckTimeWhileDraining) ended.push_back(session);
+        if (session->stalledFor(clock_.now()) > kMaxStallTimeWhileDraining) ended.push_back(session);
     }
     for (const SessionPtr& session : ended) session->end();
     if (isListening_ || !sessions_.empty())
--- a/src/net/client/client_server.h
+++ b/src/net/client/client_server.h
@@ -72,7 +72,7 @@
     void onAccepted(const error_code& ec, tcp::socket&& socket);
     void startSession(tcp::socket&& socket);
     bool endIdleSession();
-    void endStuckSessions();
+    void endStalledSessions();
     void endIdleSessionsWhileDraining();
     void stopListening();
     void reportDrained();
--- a/src/net/client/client_session.cpp
+++ b/src/net/client/client_session.cpp
@@ -23,7 +23,7 @@
       clock_(clock),
       acceptedAt_(clock.now()) {}
 
-Duration ClientSession::stuckFor(TimePoint now) const {
+Duration ClientSession::stalledFor(TimePoint now) const {
     if (isBusy_ || isLingering_) return {};
     if (!allWritten()) return now - blockedAt_;
     if (!reader_.isPartial()) return {};
--- a/src/net/client/client_session.h
+++ b/src/net/client/client_session.h
@@ -75,7 +75,7 @@
     // Returns for how long the client has been sending an incomplete request, or has not received a complete
     // response; 0 if neither is the case. For the first request, the time is measured from the start of the
     // connection.
-    Duration stuckFor(TimePoint now) const;
+    Duration stalledFor(TimePoint now) const;
 
     // Returns when the session last received bytes or sent a response.
     std::chrono::steady_clock::time_point activeAt() const { return activeAt_; }
