--- a/src/net/client/client_server.cpp
+++ b/src/net/client/client_server.cpp
@@ -137,7 +137,7 @@
         const Duration maxTime =
             session->allWritten() ? limits_.requestReadTimeout : limits_.responseWriteTimeout;
         if (session->stalledFor(clock_.now()) > maxTime) stalled.push_back(session);
-        if (now - session->activeAt() > limits_.requestReadTimeout && session->hasExchangedNothing())
+        if (now - session->activeAt() > limits_.requestReadTimeout && session->isUnused())
             unused.push_back(session);
     }
     for (const SessionPtr& session : unused) session->end();
@@ -181,7 +181,8 @@
     const auto now = steady_clock::now();
     std::vector<SessionPtr> ended;
     for (const SessionPtr& session : sessions_) {
-        const bool isNew = session->isFresh() && now - session->activeAt() <= kFirstRequestGrace;
+        const bool isNew =
+            session->isBeforeFirstResponse() && now - session->activeAt() <= kFirstRequestGrace;
         if (session->isIdle() && !isNew && !session->hasInput()) ended.push_back(session);
         if (session->stalledFor(clock_.now()) > kMaxStallTimeWhileDraining) ended.push_back(session);
     }
--- a/src/net/client/client_session.cpp
+++ b/src/net/client/client_session.cpp
@@ -27,7 +27,7 @@
     if (isBusy_ || isLingering_) return {};
     if (!allWritten()) return now - blockedAt_;
     if (!reader_.isPartial()) return {};
-    return now - (isFresh() ? acceptedAt_ : reader_.startedAt());
+    return now - (isBeforeFirstResponse() ? acceptedAt_ : reader_.startedAt());
 }
 
 // ---- Responses ------------------------------------------------------------------------------------
--- a/src/net/client/client_session.h
+++ b/src/net/client/client_session.h
@@ -67,10 +67,10 @@
     bool isIdle() const { return !isBusy_ && !isLingering_ && !reader_.isPartial() && allWritten(); }
 
     // Returns whether no response has been sent.
-    bool isFresh() const { return responses_ == 0; }
+    bool isBeforeFirstResponse() const { return responses_ == 0; }
 
     // Returns whether no response has been sent and no byte received.
-    bool hasExchangedNothing() { return isFresh() && isIdle() && !hasInput(); }
+    bool isUnused() { return isBeforeFirstResponse() && isIdle() && !hasInput(); }
 
     // Returns for how long the client has been sending an incomplete request, or has not received a complete
     // response; 0 if neither is the case. For the first request, the time is measured from the start of the
