--- a/src/net/client/client_server.cpp
+++ b/src/net/client/client_server.cpp
@@ -137,7 +137,7 @@
         const Duration maxTime =
             session->allWritten() ? limits_.requestReadTimeout : limits_.responseWriteTimeout;
         if (session->stalledFor(clock_.now()) > maxTime) stalled.push_back(session);
-        if (now - session->activeAt() > limits_.requestReadTimeout && session->isUnused())
+        if (now - session->lastActiveAt() > limits_.requestReadTimeout && session->isUnused())
             unused.push_back(session);
     }
     for (const SessionPtr& session : unused) session->end();
@@ -182,7 +182,7 @@
     std::vector<SessionPtr> ended;
     for (const SessionPtr& session : sessions_) {
         const bool isNew =
-            session->isBeforeFirstResponse() && now - session->activeAt() <= kFirstRequestGrace;
+            session->isBeforeFirstResponse() && now - session->lastActiveAt() <= kFirstRequestGrace;
         if (session->isIdle() && !isNew && !session->hasInput()) ended.push_back(session);
         if (session->stalledFor(clock_.now()) > kMaxStallTimeWhileDraining) ended.push_back(session);
     }
--- a/src/net/client/client_session.cpp
+++ b/src/net/client/client_session.cpp
@@ -39,7 +39,7 @@
     output_.clear();
     appendResponse(output_, response, staysOpen);
     send(output_);
-    activeAt_ = steady_clock::now();
+    lastActiveAt_ = steady_clock::now();
     if (!allWritten()) blockedAt_ = clock_.now();
     if (!staysOpen) {
         linger();
@@ -99,7 +99,7 @@
 // ---- Requests -------------------------------------------------------------------------------------
 
 void ClientSession::onReceived() {
-    activeAt_ = steady_clock::now();
+    lastActiveAt_ = steady_clock::now();
     reader_.noteReceived(input().size(), clock_.now());
     if (!isBusy_) {
         readNext();
--- a/src/net/client/client_session.h
+++ b/src/net/client/client_session.h
@@ -78,7 +78,7 @@
     Duration stalledFor(TimePoint now) const;
 
     // Returns when the session last received bytes or sent a response.
-    std::chrono::steady_clock::time_point activeAt() const { return activeAt_; }
+    std::chrono::steady_clock::time_point lastActiveAt() const { return lastActiveAt_; }
 
 private:
     void onReceived() override;
@@ -105,7 +105,7 @@
     std::string output_;  // a member to reuse its capacity
     TimePoint acceptedAt_;
     TimePoint blockedAt_{};  // when a response was sent that the kernel did not accept completely
-    std::chrono::steady_clock::time_point activeAt_ = std::chrono::steady_clock::now();
+    std::chrono::steady_clock::time_point lastActiveAt_ = std::chrono::steady_clock::now();
     std::uint64_t responses_ = 0;
     bool hasEnded_ = false;
     bool isBusy_ = false;       // a request is in flight
