--- a/src/net/client/arrival_log.h
+++ b/src/net/client/arrival_log.h
@@ -15,14 +15,14 @@
 public:
     // Records that bytes arrived at `now`. `unconsumedBytes` is the number of all bytes that have arrived and
     // have not been consumed.
-    void noteArrival(std::uint64_t unconsumedBytes, TimePoint now);
+    void recordArrival(std::uint64_t unconsumedBytes, TimePoint now);
 
     // Records that the oldest `bytes` unconsumed bytes were consumed.
     void consume(std::uint64_t bytes) { consumedBytes_ += bytes; }
 
     // Returns when the first unconsumed byte arrived, accurate to 10 ms, and drops earlier entries.
     // Precondition: there is an unconsumed byte.
-    TimePoint takeArrivalOfNext();
+    TimePoint takeNextArrivalTime();
 
 private:
     struct Arrival {
--- a/src/net/client/client_request_reader.cpp
+++ b/src/net/client/client_request_reader.cpp
@@ -28,7 +28,7 @@
 ClientRequestReader::Progress ClientRequestReader::read(boost::beast::flat_buffer& input, TimePoint now) {
     if (!isPartial_) {
         isPartial_ = true;
-        receivedAt_ = arrivals_.takeArrivalOfNext();
+        receivedAt_ = arrivals_.takeNextArrivalTime();
         startedAt_ = now;
     }
     error_code ec;
--- a/src/net/client/client_request_reader.h
+++ b/src/net/client/client_request_reader.h
@@ -28,10 +28,10 @@
 
     // Records that bytes were received at `now`. `unreadBytes` is the number of all bytes that were received
     // and have not been consumed by read().
-    void noteReceived(std::size_t unreadBytes, TimePoint now) { arrivals_.noteArrival(unreadBytes, now); }
+    void recordReceived(std::size_t unreadBytes, TimePoint now) { arrivals_.recordArrival(unreadBytes, now); }
 
     // Continues to read the request, and consumes the bytes of `input` that belong to it. Preconditions:
-    // `input` is not empty, and noteReceived() was called for its bytes.
+    // `input` is not empty, and recordReceived() was called for its bytes.
     Progress read(boost::beast::flat_buffer& input, TimePoint now);
 
     // Returns the request that was read. Precondition: read() has returned `complete`, and takeRequest() has
--- a/src/net/client/client_session.cpp
+++ b/src/net/client/client_session.cpp
@@ -100,7 +100,7 @@
 
 void ClientSession::onReceived() {
     lastActiveAt_ = steady_clock::now();
-    reader_.noteReceived(input().size(), clock_.now());
+    reader_.recordReceived(input().size(), clock_.now());
     if (!isBusy_) {
         readNext();
         return;
--- a/tests/net/client/arrival_log_test.cpp
+++ b/tests/net/client/arrival_log_test.cpp
@@ -11,38 +11,38 @@
 
 TEST(ArrivalLogTest, ReturnsArrivalTimeOfEachPipelinedRequest) {
     ArrivalLog log;
-    log.noteArrival(100, kStart);
-    log.noteArrival(150, kStart + milliseconds(20));
-    EXPECT_EQ(log.takeArrivalOfNext(), kStart);
+    log.recordArrival(100, kStart);
+    log.recordArrival(150, kStart + milliseconds(20));
+    EXPECT_EQ(log.takeNextArrivalTime(), kStart);
     log.consume(99);
-    EXPECT_EQ(log.takeArrivalOfNext(), kStart);
+    EXPECT_EQ(log.takeNextArrivalTime(), kStart);
     log.consume(1);
-    EXPECT_EQ(log.takeArrivalOfNext(), kStart + milliseconds(20));
+    EXPECT_EQ(log.takeNextArrivalTime(), kStart + milliseconds(20));
 }
 
 TEST(ArrivalLogTest, MergesArrivalsWithinTenMilliseconds) {
     ArrivalLog log;
-    log.noteArrival(10, kStart);
-    log.noteArrival(20, kStart + milliseconds(10));
+    log.recordArrival(10, kStart);
+    log.recordArrival(20, kStart + milliseconds(10));
     log.consume(15);
-    EXPECT_EQ(log.takeArrivalOfNext(), kStart);
+    EXPECT_EQ(log.takeNextArrivalTime(), kStart);
 }
 
 TEST(ArrivalLogTest, StartsNewEntryWhenAllBytesAreConsumed) {
     ArrivalLog log;
-    log.noteArrival(10, kStart);
+    log.recordArrival(10, kStart);
     log.consume(10);
-    log.noteArrival(5, kStart + milliseconds(1));
-    EXPECT_EQ(log.takeArrivalOfNext(), kStart + milliseconds(1));
+    log.recordArrival(5, kStart + milliseconds(1));
+    EXPECT_EQ(log.takeNextArrivalTime(), kStart + milliseconds(1));
 }
 
 TEST(ArrivalLogTest, SkipsArrivalsThatAreConsumedCompletely) {
     ArrivalLog log;
-    log.noteArrival(10, kStart);
-    log.noteArrival(20, kStart + milliseconds(20));
-    log.noteArrival(30, kStart + milliseconds(40));
+    log.recordArrival(10, kStart);
+    log.recordArrival(20, kStart + milliseconds(20));
+    log.recordArrival(30, kStart + milliseconds(40));
     log.consume(25);
-    EXPECT_EQ(log.takeArrivalOfNext(), kStart + milliseconds(40));
+    EXPECT_EQ(log.takeNextArrivalTime(), kStart + milliseconds(40));
 }
 
 }  // namespace
--- a/tests/net/client/client_request_reader_test.cpp
+++ b/tests/net/client/client_request_reader_test.cpp
@@ -20,7 +20,7 @@
     // Receives `bytes` at `now`, and reads the request from all bytes that are not consumed.
     Progress receive(const std::string& bytes) {
         input.commit(boost::asio::buffer_copy(input.prepare(bytes.size()), boost::asio::buffer(bytes)));
-        reader.noteReceived(input.size(), now);
+        reader.recordReceived(input.size(), now);
         return reader.read(input, now);
     }
 
