--- a/src/net/client/client_request_reader.cpp
+++ b/src/net/client/client_request_reader.cpp
@@ -13,7 +13,7 @@
 
 // Returns the status to reject the request with, or nothing if reading can continue. `ec` is the parser's
 // result.
-std::optional<http::status> findRejection(const Parser& parser, const error_code& ec) {
+std::optional<http::status> findRejectionStatus(const Parser& parser, const error_code& ec) {
     if (announcesBodyOver(parser, kMaxBodyBytes)) return http::status::payload_too_large;
     if (parser.is_header_done() && hasAmbiguousLength(parser.get())) return http::status::bad_request;
     if (!ec || ec == http::error::need_more) return std::nullopt;
@@ -35,8 +35,8 @@
     const std::size_t used = parser_->put(input.data(), ec);
     arrivals_.consume(used);
     input.consume(used);
-    if (const auto rejection = findRejection(*parser_, ec)) {
-        rejection_ = *rejection;
+    if (const auto rejectionStatus = findRejectionStatus(*parser_, ec)) {
+        rejectionStatus_ = *rejectionStatus;
         return Progress::rejected;
     }
     if (parser_->is_done()) return Progress::complete;
--- a/src/net/client/client_request_reader.h
+++ b/src/net/client/client_request_reader.h
@@ -21,7 +21,7 @@
     enum class Progress {
         incomplete,  // more bytes of the request must be received
         complete,    // call takeRequest()
-        rejected,    // malformed or too large, see rejection(); the stream can't be read any further
+        rejected,    // malformed or too large, see rejectionStatus(); the stream can't be read any further
     };
 
     ClientRequestReader() { reset(); }
@@ -39,7 +39,7 @@
     HttpRequest takeRequest();
 
     // Returns the status to answer with. Precondition: read() has returned `rejected`.
-    boost::beast::http::status rejection() const { return rejection_; }
+    boost::beast::http::status rejectionStatus() const { return rejectionStatus_; }
 
     // Returns whether a part of a request was read and the rest has not been received.
     bool isPartial() const { return isPartial_; }
@@ -61,7 +61,7 @@
     ArrivalLog arrivals_;
     TimePoint receivedAt_{};
     TimePoint startedAt_{};
-    boost::beast::http::status rejection_ = boost::beast::http::status::bad_request;
+    boost::beast::http::status rejectionStatus_ = boost::beast::http::status::bad_request;
     bool isPartial_ = false;
     bool expectsContinue_ = false;
 };
--- a/src/net/client/client_session.cpp
+++ b/src/net/client/client_session.cpp
@@ -118,7 +118,7 @@
             continueIncompleteRequest();
             break;
         case ClientRequestReader::Progress::rejected:
-            answerAndClose(reader_.rejection());
+            answerAndClose(reader_.rejectionStatus());
             break;
         case ClientRequestReader::Progress::complete: {
             const HttpRequest message = reader_.takeRequest();
--- a/tests/net/client/client_request_reader_test.cpp
+++ b/tests/net/client/client_request_reader_test.cpp
@@ -56,26 +56,26 @@
 
 TEST_F(ClientRequestReaderTest, RejectsTextThatIsNotHttpWith400) {
     EXPECT_EQ(receive("nonsense\r\n\r\n"), Progress::rejected);
-    EXPECT_EQ(reader.rejection(), http::status::bad_request);
+    EXPECT_EQ(reader.rejectionStatus(), http::status::bad_request);
 }
 
 TEST_F(ClientRequestReaderTest, RejectsAmbiguousLengthWith400) {
     EXPECT_EQ(receive("POST /spend HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n"),
               Progress::rejected);
-    EXPECT_EQ(reader.rejection(), http::status::bad_request);
+    EXPECT_EQ(reader.rejectionStatus(), http::status::bad_request);
 }
 
 TEST_F(ClientRequestReaderTest, RejectsTooLargeBodyWith413) {
     EXPECT_EQ(
         receive("POST /spend HTTP/1.1\r\nContent-Length: " + std::to_string(kMaxBodyBytes + 1) + "\r\n\r\n"),
         Progress::rejected);
-    EXPECT_EQ(reader.rejection(), http::status::payload_too_large);
+    EXPECT_EQ(reader.rejectionStatus(), http::status::payload_too_large);
 }
 
 TEST_F(ClientRequestReaderTest, RejectsTooLargeHeaderWith431) {
     EXPECT_EQ(receive("GET /load HTTP/1.1\r\nName: " + std::string(kMaxHeaderBytes, 'x')),
               Progress::rejected);
-    EXPECT_EQ(reader.rejection(), http::status::request_header_fields_too_large);
+    EXPECT_EQ(reader.rejectionStatus(), http::status::request_header_fields_too_large);
 }
 
 TEST_F(ClientRequestReaderTest, DetectsExpectContinueOfChunkedBody) {
