--- a/src/net/counter/counter_client.cpp
+++ b/src/net/counter/counter_client.cpp
@@ -30,15 +30,15 @@
       host_(toString(address)),
       limits_(limits),
       onReply_(std::move(onReply)),
-      lanes_(limits.lanes) {}
+      channels_(limits.channels) {}
 
 // ---- Calls ----------------------------------------------------------------------------------------
 
 void CounterClient::add(const AddToCounter& call) {
-    const std::size_t lane = std::hash<std::string>{}(call.name) % lanes_.size();
-    if (const ConnectionPtr& connection = ensureConnection(lane)) {
+    const std::size_t channel = std::hash<std::string>{}(call.name) % channels_.size();
+    if (const ConnectionPtr& connection = ensureConnection(channel)) {
         connection->call(call, host_);
-        lanes_[lane].needsFlush = true;
+        channels_[channel].needsFlush = true;
         return;
     }
     CounterReplied reply;
@@ -48,10 +48,10 @@
 }
 
 void CounterClient::flush() {
-    for (Lane& lane : lanes_) {
-        if (!lane.needsFlush) continue;
-        lane.needsFlush = false;
-        if (lane.current) lane.current->flush();
+    for (Channel& channel : channels_) {
+        if (!channel.needsFlush) continue;
+        channel.needsFlush = false;
+        if (channel.current) channel.current->flush();
     }
 }
 
@@ -59,41 +59,41 @@
     const auto hasNoCalls = [](const ConnectionPtr& connection) {
         return !connection || connection->isIdle();
     };
-    return std::all_of(lanes_.begin(), lanes_.end(), [&](const Lane& lane) {
-        return hasNoCalls(lane.current) && hasNoCalls(lane.previous);
+    return std::all_of(channels_.begin(), channels_.end(), [&](const Channel& channel) {
+        return hasNoCalls(channel.current) && hasNoCalls(channel.previous);
     });
 }
 
 // ---- Connections ----------------------------------------------------------------------------------
 
 const CounterClient::ConnectionPtr& CounterClient::ensureConnection(std::size_t index) {
-    Lane& lane = lanes_[index];
-    if (lane.current && lane.current->isStale()) {
-        const ConnectionPtr stale = std::exchange(lane.current, nullptr);
+    Channel& channel = channels_[index];
+    if (channel.current && channel.current->isStale()) {
+        const ConnectionPtr stale = std::exchange(channel.current, nullptr);
         stale->failAll();
     }
-    if (!lane.current && steady_clock::now() >= lane.connectNotBefore) connect(index);
-    return lane.current;
+    if (!channel.current && steady_clock::now() >= channel.connectNotBefore) connect(index);
+    return channel.current;
 }
 
 void CounterClient::connect(std::size_t index) {
-    Lane& lane = lanes_[index];
-    lane.current = std::make_shared<CounterConnection>(
+    Channel& channel = channels_[index];
+    channel.current = std::make_shared<CounterConnection>(
         ioContext_, static_cast<CounterConnectionObserver&>(*this), timers_, index, limits_.callTimeout);
-    lane.current->connect(address_, timers_, limits_.connectTimeout, limits_.reclaimDescriptor);
+    channel.current->connect(address_, timers_, limits_.connectTimeout, limits_.reclaimDescriptor);
 }
 
 void CounterClient::onConnected(const CounterConnection& connection) {
-    lanes_[connection.lane()].backoff = {};
+    channels_[connection.channel()].backoff = {};
 }
 
 void CounterClient::onBroken(const CounterConnection& connection, bool wasConnected) {
-    Lane& lane = lanes_[connection.lane()];
-    if (lane.current.get() != &connection) return;
-    lane.current = nullptr;
+    Channel& channel = channels_[connection.channel()];
+    if (channel.current.get() != &connection) return;
+    channel.current = nullptr;
     if (wasConnected) return;  // needs no backoff: the counter may have closed an idle connection
-    lane.backoff = std::clamp(lane.backoff * 2, kInitialBackoff, kMaxBackoff);
-    lane.connectNotBefore = steady_clock::now() + lane.backoff;
+    channel.backoff = std::clamp(channel.backoff * 2, kInitialBackoff, kMaxBackoff);
+    channel.connectNotBefore = steady_clock::now() + channel.backoff;
 }
 
 // ---- Change of address ----------------------------------------------------------------------------
@@ -102,49 +102,51 @@
     if (address == address_) return;
     address_ = address;
     host_ = toString(address);
-    for (std::size_t lane = 0; lane < lanes_.size(); ++lane) moveLane(lane);
+    for (std::size_t channel = 0; channel < channels_.size(); ++channel) moveChannel(channel);
 }
 
-void CounterClient::moveLane(std::size_t index) {
-    Lane& lane = lanes_[index];
-    // A lane keeps at most one previous connection. Calls on an older one end as timed out.
-    const ConnectionPtr oldest = std::exchange(lane.previous, nullptr);
+void CounterClient::moveChannel(std::size_t index) {
+    Channel& channel = channels_[index];
+    // A channel keeps at most one previous connection. Calls on an older one end as timed out.
+    const ConnectionPtr oldest = std::exchange(channel.previous, nullptr);
     if (oldest) oldest->failAll();
-    const ConnectionPtr old = std::exchange(lane.current, nullptr);
+    const ConnectionPtr old = std::exchange(channel.current, nullptr);
     if (old && old->isOpen() && !old->isIdle()) {
-        lane.previous = old;  // its calls end at their timeouts at the latest
+        channel.previous = old;  // its calls end at their timeouts at the latest
         old->release();
     } else if (old) {
         old->failAll();
     }
-    lane.backoff = {};
-    lane.connectNotBefore = {};
-    if (!lane.current) connect(index);  // failAll() may have caused a new call, which has connected already
+    channel.backoff = {};
+    channel.connectNotBefore = {};
+    if (!channel.current)
+        connect(index);  // failAll() may have caused a new call, which has connected already
 }
 
-// The engine expects the replies for a name in the order of the calls, so a lane writes nothing to the new
+// The engine expects the replies for a name in the order of the calls, so a channel writes nothing to the new
 // address while a call to the old one is in flight.
 bool CounterClient::mayWrite(const CounterConnection& connection) const {
-    const Lane& lane = lanes_[connection.lane()];
-    return lane.previous == nullptr || lane.previous.get() == &connection;
+    const Channel& channel = channels_[connection.channel()];
+    return channel.previous == nullptr || channel.previous.get() == &connection;
 }
 
 void CounterClient::onReply(const CounterConnection& connection, CounterReplied&& reply) {
     onReply_(std::move(reply));
-    const Lane& lane = lanes_[connection.lane()];
-    if (lane.previous.get() != &connection || !connection.isIdle()) return;
+    const Channel& channel = channels_[connection.channel()];
+    if (channel.previous.get() != &connection || !connection.isIdle()) return;
     // Retires the connection from the event loop, since it may still be reading its input.
-    timers_.after(Duration::zero(), [this, index = connection.lane(), weak = std::weak_ptr(lane.previous)] {
-        if (const auto previous = weak.lock()) retirePrevious(index, previous);
-    });
+    timers_.after(Duration::zero(),
+                  [this, index = connection.channel(), weak = std::weak_ptr(channel.previous)] {
+                      if (const auto previous = weak.lock()) retirePrevious(index, previous);
+                  });
 }
 
 void CounterClient::retirePrevious(std::size_t index, const ConnectionPtr& previous) {
-    Lane& lane = lanes_[index];
-    if (lane.previous != previous) return;
-    lane.previous = nullptr;
+    Channel& channel = channels_[index];
+    if (channel.previous != previous) return;
+    channel.previous = nullptr;
     previous->failAll();
-    if (lane.current) lane.current->release();
+    if (channel.current) channel.current->release();
 }
 
 }  // namespace gateway::net
--- a/src/net/counter/counter_client.h
+++ b/src/net/counter/counter_client.h
@@ -15,13 +15,13 @@
 
 namespace gateway::net {
 
-// Distributes calls over lanes by a hash of the counter name. All calls for a name use the same lane, so
-// their replies come in the order of the calls. A lane has one connection, and replaces it when the
+// Distributes calls over channels by a hash of the counter name. All calls for a name use the same channel,
+// so their replies come in the order of the calls. A channel has one connection, and replaces it when the
 // connection breaks or the counter's address changes.
 class CounterClient final : private CounterConnectionObserver {
 public:
     struct Limits {
-        std::size_t lanes = 8;  // the counter accepts at most 32 connections from a gateway
+        std::size_t channels = 8;  // the counter accepts at most 32 connections from a gateway
         Duration callTimeout{};
         Duration connectTimeout{};
         ReclaimDescriptor reclaimDescriptor{};  // called when the process has no free descriptor
@@ -40,14 +40,14 @@
     // Returns whether all calls have ended.
     bool isIdle() const;
 
-    // Sends new calls to another address. A lane holds its new calls until its calls to the old address have
-    // ended.
+    // Sends new calls to another address. A channel holds its new calls until its calls to the old address
+    // have ended.
     void moveTo(const tcp::endpoint& address);
 
 private:
     using ConnectionPtr = std::shared_ptr<CounterConnection>;
 
-    struct Lane {
+    struct Channel {
         ConnectionPtr current;
         ConnectionPtr previous;  // the connection to the old address, until its calls have ended
         std::chrono::steady_clock::time_point connectNotBefore{};
@@ -60,10 +60,10 @@
     void onReply(const CounterConnection& connection, CounterReplied&& reply) override;
     void onBroken(const CounterConnection& connection, bool wasConnected) override;
 
-    // Returns the lane's connection, which may still be connecting; null during the lane's backoff.
+    // Returns the channel's connection, which may still be connecting; null during the channel's backoff.
     const ConnectionPtr& ensureConnection(std::size_t index);
     void connect(std::size_t index);
-    void moveLane(std::size_t index);
+    void moveChannel(std::size_t index);
     void retirePrevious(std::size_t index, const ConnectionPtr& previous);
 
     boost::asio::io_context& ioContext_;
@@ -72,7 +72,7 @@
     std::string host_;  // `address_` as text, for the Host header
     Limits limits_;
     ReplyHandler onReply_;
-    std::vector<Lane> lanes_;
+    std::vector<Channel> channels_;
 };
 
 }  // namespace gateway::net
--- a/src/net/counter/counter_connection.cpp
+++ b/src/net/counter/counter_connection.cpp
@@ -17,11 +17,11 @@
 }  // namespace
 
 CounterConnection::CounterConnection(boost::asio::io_context& ioContext, CounterConnectionObserver& observer,
-                                     TimerQueue& timers, std::size_t lane, Duration callTimeout)
+                                     TimerQueue& timers, std::size_t channel, Duration callTimeout)
     : TcpConnection(ioContext),
       observer_(observer),
       timers_(timers),
-      lane_(lane),
+      channel_(channel),
       callTimeout_(callTimeout) {}
 
 // ---- Calls ----------------------------------------------------------------------------------------
--- a/src/net/counter/counter_connection.h
+++ b/src/net/counter/counter_connection.h
@@ -38,12 +38,12 @@
 // timeout, and discards the response if it arrives later.
 class CounterConnection final : public TcpConnection {
 public:
-    // `observer` and `timers` must be valid until the connection is closed. `lane` identifies the connection
-    // to the observer.
+    // `observer` and `timers` must be valid until the connection is closed. `channel` identifies the
+    // connection to the observer.
     CounterConnection(boost::asio::io_context& ioContext, CounterConnectionObserver& observer,
-                      TimerQueue& timers, std::size_t lane, Duration callTimeout);
+                      TimerQueue& timers, std::size_t channel, Duration callTimeout);
 
-    std::size_t lane() const { return lane_; }
+    std::size_t channel() const { return channel_; }
 
     // Starts a call. The call is written by the next flush(), or, if the connection is not established yet or
     // may not write, by release().
@@ -89,7 +89,7 @@
 
     CounterConnectionObserver& observer_;
     TimerQueue& timers_;
-    std::size_t lane_;
+    std::size_t channel_;
     Duration callTimeout_;
     std::uint64_t nextNumber_ = 1;
     std::uint64_t queuedBytes_ = 0;
--- a/tests/integration/counter_calls_test.cpp
+++ b/tests/integration/counter_calls_test.cpp
@@ -10,7 +10,7 @@
 namespace gateway::net::test {
 namespace {
 
-constexpr std::size_t kLanes = 8;  // of the CounterClient
+constexpr std::size_t kChannels = 8;  // of the CounterClient
 
 class CounterCallsTest : public testing::Test {
 protected:
@@ -160,20 +160,20 @@
     slow.reload(newDiscovery, &newCounter);
     newDiscovery.accept().receiveMessage();  // the reload has taken effect
     second.write(countedRequest("r2").text());
-    std::vector<Socket> lanes;
-    lanes.reserve(kLanes);
-    for (std::size_t i = 0; i < kLanes; ++i) lanes.push_back(newCounter.accept());
+    std::vector<Socket> channels;
+    channels.reserve(kChannels);
+    for (std::size_t i = 0; i < kChannels; ++i) channels.push_back(newCounter.accept());
     old.write(okResponse("5"));
     Socket firstAttempt = endpoint.accept();
     firstAttempt.receiveMessage();
     std::vector<const Socket*> waiting;
-    waiting.reserve(lanes.size());
-    for (const Socket& lane : lanes) waiting.push_back(&lane);
+    waiting.reserve(channels.size());
+    for (const Socket& channel : channels) waiting.push_back(&channel);
     ASSERT_EQ(waitForReadable(waiting).size(), 1u);
-    for (Socket& lane : lanes) {
-        if (!lane.waitReadable(0)) continue;
-        EXPECT_TRUE(contains(lane.receiveMessage(), "?add=1&"));
-        lane.write(okResponse("6"));
+    for (Socket& channel : channels) {
+        if (!channel.waitReadable(0)) continue;
+        EXPECT_TRUE(contains(channel.receiveMessage(), "?add=1&"));
+        channel.write(okResponse("6"));
     }
     Socket secondAttempt = endpoint.accept();
     secondAttempt.receiveMessage();
