--- a/src/net/counter/counter_client.cpp
+++ b/src/net/counter/counter_client.cpp
@@ -98,14 +98,14 @@
 
 // ---- Change of address ----------------------------------------------------------------------------
 
-void CounterClient::moveTo(const tcp::endpoint& address) {
+void CounterClient::changeAddress(const tcp::endpoint& address) {
     if (address == address_) return;
     address_ = address;
     host_ = toString(address);
-    for (std::size_t channel = 0; channel < channels_.size(); ++channel) moveChannel(channel);
+    for (std::size_t channel = 0; channel < channels_.size(); ++channel) changeChannelAddress(channel);
 }
 
-void CounterClient::moveChannel(std::size_t index) {
+void CounterClient::changeChannelAddress(std::size_t index) {
     Channel& channel = channels_[index];
     // A channel keeps at most one previous connection. Calls on an older one end as timed out.
     const ConnectionPtr oldest = std::exchange(channel.previous, nullptr);
--- a/src/net/counter/counter_client.h
+++ b/src/net/counter/counter_client.h
@@ -42,7 +42,7 @@
 
     // Sends new calls to another address. A channel holds its new calls until its calls to the old address
     // have ended.
-    void moveTo(const tcp::endpoint& address);
+    void changeAddress(const tcp::endpoint& address);
 
 private:
     using ConnectionPtr = std::shared_ptr<CounterConnection>;
@@ -63,7 +63,7 @@
     // Returns the channel's connection, which may still be connecting; null during the channel's backoff.
     const ConnectionPtr& ensureConnection(std::size_t index);
     void connect(std::size_t index);
-    void moveChannel(std::size_t index);
+    void changeChannelAddress(std::size_t index);
     void retirePrevious(std::size_t index, const ConnectionPtr& previous);
 
     boost::asio::io_context& ioContext_;
--- a/src/net/discovery/discovery_client.cpp
+++ b/src/net/discovery/discovery_client.cpp
@@ -56,7 +56,7 @@
     closeAll();
 }
 
-void DiscoveryClient::moveTo(const tcp::endpoint& address) {
+void DiscoveryClient::changeAddress(const tcp::endpoint& address) {
     if (isStopped_ || address == options_.address) return;
     options_.address = address;
     needsSnapshot_ = true;
--- a/src/net/discovery/discovery_client.h
+++ b/src/net/discovery/discovery_client.h
@@ -45,7 +45,7 @@
 
     // Closes all connections and calls discovery at another address. Requests a snapshot there, because its
     // versions are not comparable.
-    void moveTo(const tcp::endpoint& address);
+    void changeAddress(const tcp::endpoint& address);
 
 private:
     using StreamPtr = std::shared_ptr<WatchStream>;
--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -113,8 +113,8 @@
 }
 
 void GatewayServer::reload(const Config& config) {
-    discovery_.moveTo(config.discovery);
-    if (counter_ && config.counter) counter_->moveTo(*config.counter);
+    discovery_.changeAddress(config.discovery);
+    if (counter_ && config.counter) counter_->changeAddress(*config.counter);
 }
 
 void GatewayServer::drain(std::function<void()> onComplete) {
