--- a/src/net/counter/counter_client.cpp
+++ b/src/net/counter/counter_client.cpp
@@ -113,7 +113,7 @@
     const ConnectionPtr old = std::exchange(channel.current, nullptr);
     if (old && old->isOpen() && !old->isIdle()) {
         channel.previous = old;  // its calls end at their timeouts at the latest
-        old->release();
+        old->writeHeldCalls();
     } else if (old) {
         old->failAll();
     }
@@ -125,7 +125,7 @@
 
 // The engine expects the replies for a name in the order of the calls, so a channel writes nothing to the new
 // address while a call to the old one is in flight.
-bool CounterClient::mayWrite(const CounterConnection& connection) const {
+bool CounterClient::canWrite(const CounterConnection& connection) const {
     const Channel& channel = channels_[connection.channel()];
     return channel.previous == nullptr || channel.previous.get() == &connection;
 }
@@ -146,7 +146,7 @@
     if (channel.previous != previous) return;
     channel.previous = nullptr;
     previous->failAll();
-    if (channel.current) channel.current->release();
+    if (channel.current) channel.current->writeHeldCalls();
 }
 
 }  // namespace gateway::net
--- a/src/net/counter/counter_client.h
+++ b/src/net/counter/counter_client.h
@@ -55,7 +55,7 @@
         bool needsFlush = false;
     };
 
-    bool mayWrite(const CounterConnection& connection) const override;
+    bool canWrite(const CounterConnection& connection) const override;
     void onConnected(const CounterConnection& connection) override;
     void onReply(const CounterConnection& connection, CounterReplied&& reply) override;
     void onBroken(const CounterConnection& connection, bool wasConnected) override;
--- a/src/net/counter/counter_connection.cpp
+++ b/src/net/counter/counter_connection.cpp
@@ -35,10 +35,10 @@
     appendCounterCall(text, add, host);
     // Holds the call until the connection may write, because a call that times out before that must not be
     // sent.
-    if (isOpen() && observer_.mayWrite(*this))
+    if (isOpen() && observer_.canWrite(*this))
         queueCall(call, text);
     else
-        call.unqueued = std::move(text);
+        call.heldRequest = std::move(text);
     call.timeoutTimer = timers_.after(callTimeout_, [this, weak = weak_from_this(), number = call.number] {
         if (const auto self = weak.lock()) expireCall(number);
     });
@@ -48,15 +48,15 @@
 void CounterConnection::queueCall(Call& call, const std::string& text) {
     queue(text);
     queuedBytes_ += text.size();
-    call.endsAt = queuedBytes_;
+    call.endOffset = queuedBytes_;
 }
 
-void CounterConnection::release() {
-    if (!isOpen() || !observer_.mayWrite(*this)) return;
+void CounterConnection::writeHeldCalls() {
+    if (!isOpen() || !observer_.canWrite(*this)) return;
     for (Call& call : calls_) {
-        if (call.endsAt) continue;
-        queueCall(call, call.unqueued);
-        call.unqueued.clear();
+        if (call.endOffset) continue;
+        queueCall(call, call.heldRequest);
+        call.heldRequest.clear();
     }
     flush();
 }
@@ -65,7 +65,7 @@
     const auto expired =
         std::find_if(calls_.begin(), calls_.end(), [&](const Call& call) { return call.number == number; });
     if (expired == calls_.end() || expired->hasTimedOut) return;
-    if (expired->endsAt) {
+    if (expired->endOffset) {
         expired->hasTimedOut = true;
         report(*expired, Outcome::timedOut, 0);
         return;
@@ -110,7 +110,7 @@
 void CounterConnection::onConnected() {
     lastReceivedAt_ = steady_clock::now();
     observer_.onConnected(*this);
-    release();
+    writeHeldCalls();
 }
 
 void CounterConnection::onReceived() {
--- a/src/net/counter/counter_connection.h
+++ b/src/net/counter/counter_connection.h
@@ -23,8 +23,8 @@
     virtual ~CounterConnectionObserver() = default;
 
     // Returns whether the connection may write calls now. A call that may not be written is held until
-    // CounterConnection::release() or the call's timeout.
-    virtual bool mayWrite(const CounterConnection& connection) const = 0;
+    // CounterConnection::writeHeldCalls() or the call's timeout.
+    virtual bool canWrite(const CounterConnection& connection) const = 0;
     // Called when the connection is established, before it writes its calls.
     virtual void onConnected(const CounterConnection& connection) = 0;
     // Called once for each call, when the call has ended.
@@ -46,11 +46,11 @@
     std::size_t channel() const { return channel_; }
 
     // Starts a call. The call is written by the next flush(), or, if the connection is not established yet or
-    // may not write, by release().
+    // may not write, by writeHeldCalls().
     void call(const AddToCounter& add, std::string_view host);
 
     // Writes the calls that are held, if the connection is established and may write.
-    void release();
+    void writeHeldCalls();
 
     // Closes the connection and reports all calls as ended. A call that was written completely ends with
     // `writtenOutcome`. Any other call ends with connectFailed, since the counter has not received it.
@@ -71,8 +71,9 @@
         std::uint64_t number = 0;
         std::string name;
         SteadyTime startedAt{};
-        std::string unqueued;                 // the encoded request, while the call is held
-        std::optional<std::uint64_t> endsAt;  // offset of the request's end in the output, once it is queued
+        std::string heldRequest;  // the encoded request, while the call is held
+        std::optional<std::uint64_t>
+            endOffset;  // offset of the request's end in the output, once it is queued
         TimerQueue::Token timeoutTimer = 0;
         bool hasTimedOut = false;  // the call was reported; its response has not been received
     };
@@ -82,7 +83,7 @@
     void onClosed() override;
 
     void queueCall(Call& call, const std::string& text);
-    bool isWritten(const Call& call) const { return call.endsAt && *call.endsAt <= written(); }
+    bool isWritten(const Call& call) const { return call.endOffset && *call.endOffset <= written(); }
     void expireCall(std::uint64_t number);
     bool finishOldestCall(const CounterResponse& response);
     void report(const Call& call, Outcome outcome, double total);
