--- a/src/net/counter/counter_client.cpp
+++ b/src/net/counter/counter_client.cpp
@@ -137,11 +137,11 @@
     // Retires the connection from the event loop, since it may still be reading its input.
     timers_.after(Duration::zero(),
                   [this, index = connection.channel(), weak = std::weak_ptr(channel.previous)] {
-                      if (const auto previous = weak.lock()) retirePrevious(index, previous);
+                      if (const auto previous = weak.lock()) closePrevious(index, previous);
                   });
 }
 
-void CounterClient::retirePrevious(std::size_t index, const ConnectionPtr& previous) {
+void CounterClient::closePrevious(std::size_t index, const ConnectionPtr& previous) {
     Channel& channel = channels_[index];
     if (channel.previous != previous) return;
     channel.previous = nullptr;
--- a/src/net/counter/counter_client.h
+++ b/src/net/counter/counter_client.h
@@ -64,7 +64,7 @@
     const ConnectionPtr& ensureConnection(std::size_t index);
     void connect(std::size_t index);
     void changeChannelAddress(std::size_t index);
-    void retirePrevious(std::size_t index, const ConnectionPtr& previous);
+    void closePrevious(std::size_t index, const ConnectionPtr& previous);
 
     boost::asio::io_context& ioContext_;
     TimerQueue& timers_;
