--- a/src/net/counter/counter_connection.cpp
+++ b/src/net/counter/counter_connection.cpp
@@ -12,7 +12,7 @@
 // The counter closes idle connections after about 10 s or less.
 constexpr Duration kMaxIdleTime = std::chrono::seconds(3);
 // A connection counts as dead if a call has been unanswered for this many call timeouts.
-constexpr int kMaxSilentTimeouts = 4;
+constexpr int kMaxUnansweredTimeouts = 4;
 
 }  // namespace
 
@@ -98,7 +98,7 @@
     if (!isOpen()) return false;
     const auto now = steady_clock::now();
     if (calls_.empty()) return now - lastReceivedAt_ > kMaxIdleTime;
-    return now - calls_.front().startedAt > kMaxSilentTimeouts * callTimeout_;
+    return now - calls_.front().startedAt > kMaxUnansweredTimeouts * callTimeout_;
 }
 
 bool CounterConnection::isIdle() const {
@@ -140,8 +140,8 @@
     if (!call.hasTimedOut)
         report(call, response.isOk ? Outcome::ok : Outcome::rejected, response.total.value_or(0));
     if (!isOpen()) return false;
-    if (!response.keepsAlive) onClosed();
-    return response.keepsAlive;
+    if (!response.keepAlive) onClosed();
+    return response.keepAlive;
 }
 
 void CounterConnection::onClosed() {
--- a/src/net/counter/counter_protocol.h
+++ b/src/net/counter/counter_protocol.h
@@ -24,7 +24,7 @@
 struct CounterResponse {
     bool isOk = false;            // status 200: the amount was added
     std::optional<double> total;  // absent if the body is not a valid total
-    bool keepsAlive = false;      // the connection stays open after this response
+    bool keepAlive = false;       // the connection stays open after this response
 };
 
 // Parses pipelined responses from a stream of bytes, one after another.
--- a/tests/net/counter/counter_protocol_test.cpp
+++ b/tests/net/counter/counter_protocol_test.cpp
@@ -81,7 +81,7 @@
     const CounterResponse response = parser.takeResponse();
     EXPECT_TRUE(response.isOk);
     EXPECT_EQ(response.total, 38);
-    EXPECT_TRUE(response.keepsAlive);
+    EXPECT_TRUE(response.keepAlive);
 }
 
 TEST_F(CounterResponseParserTest, LeavesPipelinedResponsesInTheInput) {
@@ -93,7 +93,7 @@
     const CounterResponse second = parser.takeResponse();
     EXPECT_FALSE(second.isOk);
     EXPECT_FALSE(second.total);
-    EXPECT_FALSE(second.keepsAlive);
+    EXPECT_FALSE(second.keepAlive);
     EXPECT_EQ(input.size(), 0U);
 }
 
