--- a/src/net/counter/counter_client.cpp
+++ b/src/net/counter/counter_client.cpp
@@ -35,10 +35,10 @@
 // ---- Calls ----------------------------------------------------------------------------------------
 
 void CounterClient::add(const AddToCounter& call) {
-    const std::size_t channel = std::hash<std::string>{}(call.name) % channels_.size();
-    if (const ConnectionPtr& connection = ensureConnection(channel)) {
+    const std::size_t index = std::hash<std::string>{}(call.name) % channels_.size();
+    if (const ConnectionPtr& connection = ensureConnection(index)) {
         connection->call(call, host_);
-        channels_[channel].needsFlush = true;
+        channels_[index].needsFlush = true;
         return;
     }
     CounterReplied reply;
@@ -84,11 +84,11 @@
 }
 
 void CounterClient::onConnected(const CounterConnection& connection) {
-    channels_[connection.channel()].backoff = {};
+    channels_[connection.channelIndex()].backoff = {};
 }
 
 void CounterClient::onBroken(const CounterConnection& connection, bool wasConnected) {
-    Channel& channel = channels_[connection.channel()];
+    Channel& channel = channels_[connection.channelIndex()];
     if (channel.current.get() != &connection) return;
     channel.current = nullptr;
     if (wasConnected) return;  // needs no backoff: the counter may have closed an idle connection
@@ -102,7 +102,7 @@
     if (address == address_) return;
     address_ = address;
     host_ = toString(address);
-    for (std::size_t channel = 0; channel < channels_.size(); ++channel) changeChannelAddress(channel);
+    for (std::size_t index = 0; index < channels_.size(); ++index) changeChannelAddress(index);
 }
 
 void CounterClient::changeChannelAddress(std::size_t index) {
@@ -119,24 +119,23 @@
     }
     channel.backoff = {};
     channel.connectNotBefore = {};
-    if (!channel.current)
-        connect(index);  // failAll() may have caused a new call, which has connected already
+    if (!channel.current) connect(index);  // a new call during failAll() has connected already
 }
 
 // The engine expects the replies for a name in the order of the calls, so a channel writes nothing to the new
 // address while a call to the old one is in flight.
 bool CounterClient::canWrite(const CounterConnection& connection) const {
-    const Channel& channel = channels_[connection.channel()];
+    const Channel& channel = channels_[connection.channelIndex()];
     return channel.previous == nullptr || channel.previous.get() == &connection;
 }
 
 void CounterClient::onReply(const CounterConnection& connection, CounterReplied&& reply) {
     onReply_(std::move(reply));
-    const Channel& channel = channels_[connection.channel()];
+    const Channel& channel = channels_[connection.channelIndex()];
     if (channel.previous.get() != &connection || !connection.isIdle()) return;
-    // Retires the connection from the event loop, since it may still be reading its input.
+    // Closes the connection from the event loop, since it may still be reading its input.
     timers_.after(Duration::zero(),
-                  [this, index = connection.channel(), weak = std::weak_ptr(channel.previous)] {
+                  [this, index = connection.channelIndex(), weak = std::weak_ptr(channel.previous)] {
                       if (const auto previous = weak.lock()) closePrevious(index, previous);
                   });
 }
--- a/src/net/counter/counter_connection.cpp
+++ b/src/net/counter/counter_connection.cpp
@@ -17,11 +17,11 @@
 }  // namespace
 
 CounterConnection::CounterConnection(boost::asio::io_context& ioContext, CounterConnectionObserver& observer,
-                                     TimerQueue& timers, std::size_t channel, Duration callTimeout)
+                                     TimerQueue& timers, std::size_t channelIndex, Duration callTimeout)
     : TcpConnection(ioContext),
       observer_(observer),
       timers_(timers),
-      channel_(channel),
+      channelIndex_(channelIndex),
       callTimeout_(callTimeout) {}
 
 // ---- Calls ----------------------------------------------------------------------------------------
--- a/src/net/counter/counter_connection.h
+++ b/src/net/counter/counter_connection.h
@@ -38,12 +38,12 @@
 // timeout, and discards the response if it arrives later.
 class CounterConnection final : public TcpConnection {
 public:
-    // `observer` and `timers` must be valid until the connection is closed. `channel` identifies the
+    // `observer` and `timers` must be valid until the connection is closed. `channelIndex` identifies the
     // connection to the observer.
     CounterConnection(boost::asio::io_context& ioContext, CounterConnectionObserver& observer,
-                      TimerQueue& timers, std::size_t channel, Duration callTimeout);
+                      TimerQueue& timers, std::size_t channelIndex, Duration callTimeout);
 
-    std::size_t channel() const { return channel_; }
+    std::size_t channelIndex() const { return channelIndex_; }
 
     // Starts a call. The call is written by the next flush(), or, if the connection is not established yet or
     // may not write, by writeHeldCalls().
@@ -71,9 +71,8 @@
         std::uint64_t number = 0;
         std::string name;
         SteadyTime startedAt{};
-        std::string heldRequest;  // the encoded request, while the call is held
-        std::optional<std::uint64_t>
-            endOffset;  // offset of the request's end in the output, once it is queued
+        std::string heldRequest;                 // the encoded request, while the call is held
+        std::optional<std::uint64_t> endOffset;  // of the request's end in the output, once it is queued
         TimerQueue::Token timeoutTimer = 0;
         bool hasTimedOut = false;  // the call was reported; its response has not been received
     };
@@ -90,7 +89,7 @@
 
     CounterConnectionObserver& observer_;
     TimerQueue& timers_;
-    std::size_t channel_;
+    std::size_t channelIndex_;
     Duration callTimeout_;
     std::uint64_t nextNumber_ = 1;
     std::uint64_t queuedBytes_ = 0;
