--- a/src/net/discovery/poll_schedule.cpp
+++ b/src/net/discovery/poll_schedule.cpp
@@ -30,8 +30,8 @@
 
 // ---- PollSchedule ---------------------------------------------------------------------------------
 
-PollSchedule::PollSchedule(const PollSlots& slots, Duration usualPeriod, std::uint64_t seed)
-    : slots_(slots), usualPeriod_(usualPeriod), backoff_(kInitialBackoff, kMaxBackoff, seed) {}
+PollSchedule::PollSchedule(const PollSlots& slots, Duration regularPeriod, std::uint64_t seed)
+    : slots_(slots), regularPeriod_(regularPeriod), backoff_(kInitialBackoff, kMaxBackoff, seed) {}
 
 PollSchedule PollSchedule::push(std::uint64_t seed) {
     return PollSchedule(PollSlots(0, 1), Duration::zero(), seed);
@@ -45,27 +45,27 @@
 }
 
 Duration PollSchedule::delayAfterStart(TimePoint now) const {
-    return isPolling() ? untilSlot(now, usualPeriod_) : kMaxConnectTime;
+    return isPolling() ? untilSlot(now, regularPeriod_) : kMaxConnectTime;
 }
 
 Duration PollSchedule::delayAfterRequest(TimePoint now) const {
-    return isPolling() ? untilSlot(now, usualPeriod_) : kMaxSilence;
+    return isPolling() ? untilSlot(now, regularPeriod_) : kMaxSilence;
 }
 
 Duration PollSchedule::delayAfterFailure(TimePoint now) {
     if (!isPolling()) return backoff_.next();
-    return untilSlot(now, now < urgentUntil_ ? urgentPeriod_ : usualPeriod_);
+    return untilSlot(now, now < fastPollUntil_ ? fastPollPeriod_ : regularPeriod_);
 }
 
 Duration PollSchedule::delayAfterSilence(TimePoint now) {
     if (!isPolling()) return Duration::zero();
-    return startUrgentPeriod(now, kUpdateDeadline - kMaxSilence, kPeriodAfterSilence);
+    return startFastPolling(now, kUpdateDeadline - kMaxSilence, kPeriodAfterSilence);
 }
 
 Duration PollSchedule::delayAfterReload(TimePoint now) {
     backoff_.reset();
     if (!isPolling()) return Duration::zero();
-    return startUrgentPeriod(now, kReloadDeadline, kPeriodAfterReload);
+    return startFastPolling(now, kReloadDeadline, kPeriodAfterReload);
 }
 
 Duration PollSchedule::delayAfterDescriptorShortage() {
@@ -74,17 +74,17 @@
 
 void PollSchedule::noteListReceived() {
     backoff_.reset();
-    urgentUntil_ = TimePoint::min();
+    fastPollUntil_ = TimePoint::min();
 }
 
-Duration PollSchedule::startUrgentPeriod(TimePoint now, Duration length, Duration period) {
-    urgentUntil_ = now + length;
-    urgentPeriod_ = period;
+Duration PollSchedule::startFastPolling(TimePoint now, Duration length, Duration period) {
+    fastPollUntil_ = now + length;
+    fastPollPeriod_ = period;
     return untilSlot(now, period);
 }
 
 Duration PollSchedule::untilSlot(TimePoint now, Duration period) const {
-    return slots_.untilNext(now, std::min(period, usualPeriod_));
+    return slots_.untilNext(now, std::min(period, regularPeriod_));
 }
 
 }  // namespace gateway::net
--- a/src/net/discovery/poll_schedule.h
+++ b/src/net/discovery/poll_schedule.h
@@ -70,17 +70,17 @@
     void noteListReceived();
 
 private:
-    PollSchedule(const PollSlots& slots, Duration usualPeriod, std::uint64_t seed);
+    PollSchedule(const PollSlots& slots, Duration regularPeriod, std::uint64_t seed);
 
-    bool isPolling() const { return usualPeriod_ > Duration::zero(); }
-    Duration startUrgentPeriod(TimePoint now, Duration length, Duration period);
+    bool isPolling() const { return regularPeriod_ > Duration::zero(); }
+    Duration startFastPolling(TimePoint now, Duration length, Duration period);
     Duration untilSlot(TimePoint now, Duration period) const;
 
     PollSlots slots_;
-    Duration usualPeriod_;  // 0: push
-    // Until this time, failed calls are repeated with urgentPeriod_ if it is shorter than the usual period.
-    TimePoint urgentUntil_ = TimePoint::min();
-    Duration urgentPeriod_{};
+    Duration regularPeriod_;  // 0: push
+    // Until this time, failed calls are repeated with fastPollPeriod_ if it is shorter than the usual period.
+    TimePoint fastPollUntil_ = TimePoint::min();
+    Duration fastPollPeriod_{};
     Backoff backoff_;
 };
 
