--- a/src/net/discovery/poll_schedule.cpp
+++ b/src/net/discovery/poll_schedule.cpp
@@ -77,8 +77,8 @@
     fastPollUntil_ = TimePoint::min();
 }
 
-Duration PollSchedule::startFastPolling(TimePoint now, Duration length, Duration period) {
-    fastPollUntil_ = now + length;
+Duration PollSchedule::startFastPolling(TimePoint now, Duration duration, Duration period) {
+    fastPollUntil_ = now + duration;
     fastPollPeriod_ = period;
     return untilSlot(now, period);
 }
--- a/src/net/discovery/poll_schedule.h
+++ b/src/net/discovery/poll_schedule.h
@@ -66,19 +66,20 @@
     // After a call failed because this process had no free descriptor. Such a call puts no load on discovery.
     Duration delayAfterDescriptorShortage();
 
-    // Must be called when a list was received. Ends the backoff and the urgent period.
+    // Must be called when a list was received. Ends the backoff and the fast polling.
     void noteListReceived();
 
 private:
     PollSchedule(const PollSlots& slots, Duration regularPeriod, std::uint64_t seed);
 
     bool isPolling() const { return regularPeriod_ > Duration::zero(); }
-    Duration startFastPolling(TimePoint now, Duration length, Duration period);
+    // Polls with `period` for the time `duration` from `now`. Returns the time until the next slot.
+    Duration startFastPolling(TimePoint now, Duration duration, Duration period);
     Duration untilSlot(TimePoint now, Duration period) const;
 
     PollSlots slots_;
     Duration regularPeriod_;  // 0: push
-    // Until this time, failed calls are repeated with fastPollPeriod_ if it is shorter than the usual period.
+    // Until this time, failed calls are repeated with fastPollPeriod_ if it is shorter than regularPeriod_.
     TimePoint fastPollUntil_ = TimePoint::min();
     Duration fastPollPeriod_{};
     Backoff backoff_;
--- a/tests/net/discovery/watch_stream_test.cpp
+++ b/tests/net/discovery/watch_stream_test.cpp
@@ -154,7 +154,7 @@
 
 class PolledWatchStreamTest : public WatchStreamTest {
 protected:
-    static constexpr int kPauseMs = 2000;  // shorter than the usual period of 4.5 s
+    static constexpr int kPauseMs = 2000;  // shorter than the regular period of 4.5 s
 
     void SetUp() override {
         startGatewayWithoutEndpoints(withDiscovery(kPolledDiscovery, std::chrono::hours(1)));
