--- a/src/net/discovery/discovery_client.cpp
+++ b/src/net/discovery/discovery_client.cpp
@@ -141,7 +141,7 @@
 
 void DiscoveryClient::applyUpdate(const EndpointList& list) {
     options_.knownVersion = list.version;
-    options_.schedule.noteListReceived();
+    options_.schedule.recordListReceived();
     onUpdate_(list);
 }
 
--- a/src/net/discovery/poll_schedule.cpp
+++ b/src/net/discovery/poll_schedule.cpp
@@ -72,7 +72,7 @@
     return backoff_.next();
 }
 
-void PollSchedule::noteListReceived() {
+void PollSchedule::recordListReceived() {
     backoff_.reset();
     fastPollUntil_ = TimePoint::min();
 }
--- a/src/net/discovery/poll_schedule.h
+++ b/src/net/discovery/poll_schedule.h
@@ -67,7 +67,7 @@
     Duration delayAfterDescriptorShortage();
 
     // Must be called when a list was received. Ends the backoff and the fast polling.
-    void noteListReceived();
+    void recordListReceived();
 
 private:
     PollSchedule(const PollSlots& slots, Duration regularPeriod, std::uint64_t seed);
--- a/src/net/discovery/watch_stream.cpp
+++ b/src/net/discovery/watch_stream.cpp
@@ -69,7 +69,7 @@
         return false;
     }
     const auto& body = parser_->get().body();
-    if (!body.empty()) noteListStarted();
+    if (!body.empty()) reportListStarted();
     if (!needsSnapshot_) readDocuments();
     if (body.size() + documents_.pendingBytes() > kMaxListBytes) {
         end();
@@ -104,7 +104,7 @@
 
 // Called when bytes of the body have been received. A status line or a header is no sign that the list will
 // follow soon.
-void WatchStream::noteListStarted() {
+void WatchStream::reportListStarted() {
     if (isReceivingList_) return;
     isReceivingList_ = true;
     observer_.onListStarted(*this);
--- a/src/net/discovery/watch_stream.h
+++ b/src/net/discovery/watch_stream.h
@@ -65,7 +65,7 @@
     bool readResponse(error_code& ec);
     void readDocuments();
     bool finishSnapshot();
-    void noteListStarted();
+    void reportListStarted();
     void checkSilence();
     void end();
 
