--- a/src/net/discovery/endpoint_list.cpp
+++ b/src/net/discovery/endpoint_list.cpp
@@ -11,7 +11,7 @@
 constexpr double kMicrosPerMilli = 1e3;
 
 // Returns the index of the name, or names.size() if the name is unknown.
-int positionOf(const std::string& name, const std::vector<std::string>& names) {
+int indexOf(const std::string& name, const std::vector<std::string>& names) {
     return static_cast<int>(std::find(names.begin(), names.end(), name) - names.begin());
 }
 
@@ -24,8 +24,8 @@
                                                                 {"terminated", Availability::removed}});
     if (entry.availability != Availability::removed || fields.has("address"))
         endpoint.address = parseAddress(fields.text("address"), "address");
-    if (fields.has("zone")) entry.zone = ZoneId{positionOf(fields.text("zone"), vocabulary.zones)};
-    if (fields.has("type")) entry.kind = MachineKind{positionOf(fields.text("type"), vocabulary.kinds)};
+    if (fields.has("zone")) entry.zone = ZoneId{indexOf(fields.text("zone"), vocabulary.zones)};
+    if (fields.has("type")) entry.kind = MachineKind{indexOf(fields.text("type"), vocabulary.kinds)};
     entry.cell = CellId{fields.integer("group", 0)};
     entry.weight = fields.number("weight", 1);
     entry.startedAt = TimePoint(Duration(std::llround(fields.number("since_ms", 0) * kMicrosPerMilli)));
--- a/src/net/discovery/watch_stream.cpp
+++ b/src/net/discovery/watch_stream.cpp
@@ -44,8 +44,8 @@
     while (input().size() > 0) {
         const std::size_t sizeBefore = input().size();
         error_code ec;
-        const bool goesOn = readResponse(ec);
-        if (!goesOn || ec == http::error::need_more) return;
+        const bool continues = readResponse(ec);
+        if (!continues || ec == http::error::need_more) return;
         if (!ec && parser_->is_done() && needsSnapshot_) {
             if (!finishSnapshot()) return;
             continue;
