--- a/src/net/discovery/endpoint_list.cpp
+++ b/src/net/discovery/endpoint_list.cpp
@@ -23,7 +23,7 @@
                                                                 {"terminating", Availability::draining},
                                                                 {"terminated", Availability::removed}});
     if (entry.availability != Availability::removed || fields.has("address"))
-        endpoint.address = parseAddress(fields.text("address"), "address");
+        endpoint.address = parseAddress(fields.text("address"), fields.pathTo("address"));
     if (fields.has("zone")) entry.zone = ZoneId{indexOf(fields.text("zone"), vocabulary.zones)};
     if (fields.has("type")) entry.kind = MachineKind{indexOf(fields.text("type"), vocabulary.kinds)};
     entry.cell = CellId{fields.integer("group", 0)};
--- a/src/settings/json_fields.cpp
+++ b/src/settings/json_fields.cpp
@@ -33,7 +33,7 @@
 }
 
 void Fields::throwError(const std::string& key, const std::string& reason) const {
-    throw FieldError(key.empty() ? path_ : path_ + "." + key, reason);
+    throw FieldError(key.empty() ? path_ : pathTo(key), reason);
 }
 
 // ---- Fields of any type ---------------------------------------------------------------------------
@@ -126,7 +126,7 @@
 // ---- Objects and arrays ---------------------------------------------------------------------------
 
 Fields Fields::object(const char* key) const {
-    return Fields(at(key), path_ + "." + key);
+    return Fields(at(key), pathTo(key));
 }
 
 const Json& Fields::arrayAt(const char* key) const {
@@ -136,7 +136,7 @@
 }
 
 std::string Fields::itemPath(const char* key, std::size_t index) const {
-    return path_ + "." + key + "[" + std::to_string(index) + "]";
+    return pathTo(key) + "[" + std::to_string(index) + "]";
 }
 
 }  // namespace gateway
--- a/src/settings/json_fields.h
+++ b/src/settings/json_fields.h
@@ -39,6 +39,9 @@
     // Throws FieldError for a field of this object, or for the object itself if `key` is empty.
     [[noreturn]] void throwError(const std::string& key, const std::string& reason) const;
 
+    // Returns the path of a field of this object, for errors about its value.
+    std::string pathTo(const std::string& key) const { return path_ + "." + key; }
+
     // Returns null if the field is missing.
     const Json* find(const char* key) const;
     bool has(const char* key) const { return find(key) != nullptr; }
