--- a/src/net/discovery/watch_stream.cpp
+++ b/src/net/discovery/watch_stream.cpp
@@ -44,8 +44,8 @@
     while (input().size() > 0) {
         const std::size_t sizeBefore = input().size();
         error_code ec;
-        const bool goesOn = readInput(ec);
-        if (!goesOn || ec == http::error::need_more) return;
+        const bool continues = readResponse(ec);
+        if (!continues || ec == http::error::need_more) return;
         if (!ec && parser_->is_done() && needsSnapshot_) {
             if (!finishSnapshot()) return;
             continue;
@@ -60,7 +60,7 @@
 
 // Continues to read the response, and passes the documents of a watch to the observer. Returns false if the
 // stream has ended. Otherwise sets `ec` to the parser's result.
-bool WatchStream::readInput(error_code& ec) {
+bool WatchStream::readResponse(error_code& ec) {
     const std::size_t used = parser_->put(input().data(), ec);
     input().consume(used);
     if (!parser_->is_header_done()) return true;
@@ -69,7 +69,7 @@
         return false;
     }
     const auto& body = parser_->get().body();
-    if (!body.empty()) noteListStarted();
+    if (!body.empty()) reportListStarted();
     if (!needsSnapshot_) readDocuments();
     if (body.size() + documents_.pendingBytes() > kMaxListBytes) {
         end();
@@ -104,7 +104,7 @@
 
 // Called when bytes of the body have been received. A status line or a header is no sign that the list will
 // follow soon.
-void WatchStream::noteListStarted() {
+void WatchStream::reportListStarted() {
     if (isReceivingList_) return;
     isReceivingList_ = true;
     observer_.onListStarted(*this);
--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -106,15 +106,15 @@
 // ---- Start, reload, shutdown ----------------------------------------------------------------------
 
 void GatewayServer::start() {
-    handleEndpointList(config_.known, UpdateKind::cached);
+    handleEndpointList(config_.cachedEndpoints, UpdateKind::cached);
     readiness_.start(config_.settings.discovery == DiscoveryMode::push);
     discovery_.start();
     clients_.listen(config_.listen);
 }
 
 void GatewayServer::reload(const Config& config) {
-    discovery_.moveTo(config.discovery);
-    if (counter_ && config.counter) counter_->moveTo(*config.counter);
+    discovery_.changeAddress(config.discovery);
+    if (counter_ && config.counter) counter_->changeAddress(*config.counter);
 }
 
 void GatewayServer::drain(std::function<void()> onComplete) {
--- a/src/settings/settings_json.cpp
+++ b/src/settings/settings_json.cpp
@@ -3,24 +3,24 @@
 namespace gateway {
 namespace {
 
-RequestClass readClass(const Fields& fields) {
-    RequestClass terms;
-    terms.idempotency = fields.choice<Idempotency>(
+RequestClass readRequestClass(const Fields& fields) {
+    RequestClass requestClass;
+    requestClass.idempotency = fields.choice<Idempotency>(
         "effect",
         {{"safe", Idempotency::safe}, {"keyed", Idempotency::withKey}, {"unsafe", Idempotency::none}});
     if (fields.has("group"))
-        terms.deduplicationScope =
+        requestClass.deduplicationScope =
             fields.choice<DeduplicationScope>("group", {{"all", DeduplicationScope::all},
                                                         {"zone", DeduplicationScope::zone},
                                                         {"cell", DeduplicationScope::cell}});
-    terms.idempotencyWindow = fields.seconds("windowS", 0);
-    terms.latencyObjective = fields.seconds("aimS");
-    terms.latencyObjectiveStretch = fields.number("aimStretch", 0);
-    terms.deadline = fields.seconds("deadlineS");
-    terms.lateWeight = fields.number("lateWorth", 0);
-    terms.priorityWeight = fields.number("points", 1);
-    terms.streamed = fields.flag("streamed");
-    return terms;
+    requestClass.idempotencyWindow = fields.seconds("windowS", 0);
+    requestClass.latencyObjective = fields.seconds("aimS");
+    requestClass.latencyObjectiveStretch = fields.number("aimStretch", 0);
+    requestClass.deadline = fields.seconds("deadlineS");
+    requestClass.lateWeight = fields.number("lateWorth", 0);
+    requestClass.priorityWeight = fields.number("points", 1);
+    requestClass.streamed = fields.flag("streamed");
+    return requestClass;
 }
 
 QuotaPlan readPlan(const Fields& fields) {
@@ -86,9 +86,10 @@
 
 Settings readSettings(const Fields& fields) {
     Settings settings;
-    fields.each("classes", [&](const Fields& item) { settings.classes.push_back(readClass(item)); });
+    fields.forEach("classes",
+                   [&](const Fields& item) { settings.classes.push_back(readRequestClass(item)); });
     if (fields.has("contracts"))
-        fields.each("contracts", [&](const Fields& item) { settings.plans.push_back(readPlan(item)); });
+        fields.forEach("contracts", [&](const Fields& item) { settings.plans.push_back(readPlan(item)); });
     settings.gatewayIndex = fields.integer("me", 0);
     settings.gatewayCount = fields.integer("balancers");
     settings.zone = ZoneId{fields.integer("locality", 0)};
@@ -100,7 +101,7 @@
     readRules(fields.object("rules"), settings);
     if (fields.has("penalties"))
         settings.crossZonePenalty = fields.object("penalties").number("crossZone", 0);
-    if (const auto problem = validate(settings)) fields.complain(problem->field, problem->reason);
+    if (const auto problem = validate(settings)) fields.throwError(problem->field, problem->reason);
     return settings;
 }
 
