--- a/src/simulator/batch_server.cpp
+++ b/src/simulator/batch_server.cpp
@@ -10,16 +10,16 @@
 namespace gateway::simulator {
 namespace {
 
-// Parses a message: an object with its name as the only key.
+// Parses a message: a JSON object whose only key is the name of the message.
 Json parseMessage(const std::string& line) {
     Json message;
     try {
         message = Json::parse(line);
     } catch (const Json::parse_error& e) {
-        throw FieldError("not JSON", e.what());
+        throw FieldError("message", std::string("is not valid JSON: ") + e.what());
     }
     if (!message.is_object() || message.size() != 1)
-        throw FieldError("message", "must be an object with one key, its name");
+        throw FieldError("message", "must be a JSON object with one key, the name of the message");
     return message;
 }
 
@@ -33,14 +33,14 @@
         beginBatch(fields);
         return std::nullopt;
     }
-    if (!isInBatch_) fields.complain("", "is outside a batch");
+    if (!isInBatch_) fields.complain("", "is outside a batch: a tick message must come first");
     if (name == "eofBatch") return endBatch();
     handleMessage(name, fields);
     return std::nullopt;
 }
 
 void BatchServer::beginBatch(const Fields& fields) {
-    if (isInBatch_) fields.complain("", "the batch before has not ended");
+    if (isInBatch_) fields.complain("", "the previous batch has not ended: an eofBatch message is missing");
     now_ = fields.timePoint("momentS");
     isInBatch_ = true;
 }
@@ -60,7 +60,8 @@
     }
     const auto found = gateways_.find(number);
     if (found == gateways_.end())
-        fields.complain("gatekeeper", "number " + std::to_string(number) + " was never enlisted");
+        fields.complain("gatekeeper", "gateway " + std::to_string(number) +
+                                          " is not enlisted: an enlist message must come first");
     if (name == "shutdown") {
         gateways_.erase(found);
         return;
@@ -72,7 +73,7 @@
     handleEvent(number, found->second, *event);
 }
 
-// A gateway that is started again forgets all that it knew.
+// Replaces a gateway that already has this number: the new one starts without any state.
 void BatchServer::startGateway(int number, const Fields& fields) {
     Settings settings = readSettings(fields.object("info"));
     const int classCount = static_cast<int>(settings.classes.size());
@@ -90,13 +91,14 @@
     }
 }
 
-// The engine expects indices that its settings have.
+// The engine doesn't check the indices in an event: they must exist in its settings.
 void BatchServer::checkIndices(const Gateway& gateway, const RequestArrived& arrival, const Fields& fields) {
     const int classIndex = static_cast<int>(arrival.requestClass);
-    if (classIndex < 0 || classIndex >= gateway.classCount) fields.complain("priority", "no such class");
+    if (classIndex < 0 || classIndex >= gateway.classCount)
+        fields.complain("priority", std::to_string(classIndex) + " is not an index into info.classes");
     const int plan = static_cast<int>(arrival.plan);
     if (plan < 0 || (gateway.planCount > 0 && plan >= gateway.planCount))
-        fields.complain("contract", "no such plan");
+        fields.complain("contract", std::to_string(plan) + " is not an index into info.contracts");
 }
 
 }  // namespace gateway::simulator
--- a/src/simulator/batch_server.h
+++ b/src/simulator/batch_server.h
@@ -1,4 +1,4 @@
-// Simulated gateways, which handle the simulator's batches of events.
+// Runs the simulated gateways on the simulator's batches of messages.
 #pragma once
 
 #include <map>
@@ -12,21 +12,21 @@
 namespace gateway::simulator {
 
 // Handles one batch at a time: passes each event to its gateway's engine, and collects the engines' actions
-// until the batch ends. Gateways share nothing.
+// until the batch ends. The gateways share no state.
 class BatchServer {
 public:
-    // Handles one line. Returns the reply, with its line ends, if the line ends a batch. Throws FieldError if
-    // the line is malformed.
+    // Handles one line, which holds one message. Returns the reply to the batch, as complete lines, if the
+    // line ends the batch. Throws FieldError if the line is malformed.
     std::optional<std::string> handleLine(const std::string& line);
 
-    // A batch has begun and not ended.
+    // True if a batch has begun and has not ended yet.
     bool isInBatch() const { return isInBatch_; }
 
 private:
     struct Gateway {
         DecisionEngine engine;
         int classCount;
-        int planCount;  // 0: requests may name any plan
+        int planCount;  // 0: a request may have any plan index
     };
 
     void beginBatch(const Fields& fields);
@@ -36,11 +36,11 @@
     void handleEvent(int number, Gateway& gateway, const Event& event);
     static void checkIndices(const Gateway& gateway, const RequestArrived& arrival, const Fields& fields);
 
-    std::map<int, Gateway> gateways_;  // by their number on the wire
+    std::map<int, Gateway> gateways_;  // by the number in the field "gatekeeper"
     TimePoint now_{};
     bool isInBatch_ = false;
     std::string reply_;
-    Actions actions_;  // kept for its capacity
+    Actions actions_;  // of one event; a member so that its memory is reused
 };
 
 }  // namespace gateway::simulator
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,4 +1,4 @@
-// The simulator adapter: runs many simulated gateways on standard input and output.
+// The simulator adapter: runs simulated gateways, which the simulator drives over standard input and output.
 #include <exception>
 #include <iostream>
 
--- a/src/simulator/wire_reader.cpp
+++ b/src/simulator/wire_reader.cpp
@@ -87,7 +87,7 @@
     ended.elapsed = fields.seconds("waitTimeS", 0);
     ended.closed = fields.flag("last");
     if (const double billed = fields.number("billed", 0); billed > 0) ended.trueCost = billed;
-    // The wire has the meter's percentage plus 1; 0 means that there is none.
+    // The field "metered" holds the percentage plus 1; 0 means that none was reported.
     if (const double metered = fields.number("metered", 0); metered > 0) ended.meteredPercent = metered - 1;
     ended.report = readReport(fields);
     return ended;
@@ -107,7 +107,7 @@
     const std::string& digits = fields.text("ref");
     const bool isNumber = !digits.empty() && digits.size() <= kMaxTimerDigits &&
                           digits.find_first_not_of("0123456789") == std::string::npos;
-    if (!isNumber) fields.complain("ref", "is no timer of ours: '" + digits + "'");
+    if (!isNumber) fields.complain("ref", "must be the ref of a sleep message; found '" + digits + "'");
     return {TimerId{std::stoull(digits)}};
 }
 
@@ -132,7 +132,7 @@
     if (name == "lapsed") return ClientDisconnected{readRequestId(fields)};
     if (name == "added") return readCounterReply(fields);
     if (name == "bell") return readTimer(fields);
-    // Gateways use neither health checks nor messages of peers.
+    // Gateways ignore the results of health checks and the messages of peers, but these must be well-formed.
     if (name == "pingResult")
         checkHealthCheck(fields);
     else if (name == "memo")
--- a/src/simulator/wire_reader.h
+++ b/src/simulator/wire_reader.h
@@ -1,5 +1,4 @@
-// Translates the simulator's messages into events. This and wire_writer are the only places that know their
-// names.
+// Translates the simulator's messages into events.
 #pragma once
 
 #include <optional>
@@ -10,8 +9,8 @@
 
 namespace gateway::simulator {
 
-// Returns the event of a message, or nothing for a message that gateways check and ignore. Throws FieldError
-// if the message is malformed or unknown.
+// Returns the event that a message reports, or nothing for a message that gateways validate and ignore.
+// Throws FieldError if the message is malformed or its name is unknown.
 std::optional<Event> readEvent(const std::string& name, const Fields& fields);
 
 }  // namespace gateway::simulator
--- a/src/simulator/wire_server.cpp
+++ b/src/simulator/wire_server.cpp
@@ -33,7 +33,8 @@
             throw WireError(place + "JSON", e.what());
         }
     }
-    if (server.isInBatch()) throw WireError("end of input", "the input ended inside a batch");
+    if (server.isInBatch())
+        throw WireError("end of input", "the last batch has not ended: an eofBatch message is missing");
 }
 
 }  // namespace gateway::simulator
--- a/src/simulator/wire_server.h
+++ b/src/simulator/wire_server.h
@@ -1,4 +1,4 @@
-// Serves the simulator on a pair of streams.
+// Serves the simulator over an input and an output stream.
 #pragma once
 
 #include <istream>
@@ -8,8 +8,8 @@
 
 namespace gateway::simulator {
 
-// Reads batches of events from `in` and writes a reply to each to `out`, until `in` ends. Throws WireError,
-// with the number of the line, at the first malformed line, and if `in` ends within a batch.
+// Reads batches of messages from `in`, and writes the reply to each batch to `out`, until `in` ends. Throws
+// WireError, with the number of the line, at the first malformed line, and if `in` ends within a batch.
 void serve(std::istream& in, std::ostream& out);
 
 }  // namespace gateway::simulator
--- a/src/simulator/wire_writer.cpp
+++ b/src/simulator/wire_writer.cpp
@@ -15,8 +15,9 @@
     return std::chrono::duration<double>(duration).count();
 }
 
+// The name and the fields of a message to the simulator.
 struct Message {
-    const char* name;  // of the action on the wire
+    const char* name;
     Json fields;
 };
 
--- a/src/simulator/wire_writer.h
+++ b/src/simulator/wire_writer.h
@@ -1,4 +1,4 @@
-// Translates actions into the simulator's messages.
+// Translates a gateway's actions into messages to the simulator.
 #pragma once
 
 #include <string>
@@ -7,7 +7,7 @@
 
 namespace gateway::simulator {
 
-// Returns the message for an action of the gateway with this number: one line, without its line end.
+// Returns the message for an action of the gateway with the number `gateway`: one line, without a line end.
 std::string writeAction(int gateway, const Action& action);
 
 }  // namespace gateway::simulator
--- a/tests/simulator/wire_server_test.cpp
+++ b/tests/simulator/wire_server_test.cpp
@@ -1,4 +1,4 @@
-// The simulator adapter: lines in, lines out.
+// The simulator adapter: batches of messages in, replies and errors out.
 #include "simulator/wire_server.h"
 
 #include <gtest/gtest.h>
@@ -80,7 +80,8 @@
 
 TEST(WireServerTest, ForgetsGatewayAfterShutdown) {
     EXPECT_EQ(errorOf(kStart + batch(kShutdown)), "");
-    EXPECT_NE(errorOf(kStart + batch(kShutdown) + batch(kLapsed)).find("never enlisted"), std::string::npos);
+    EXPECT_NE(errorOf(kStart + batch(kShutdown) + batch(kLapsed)).find("gateway 3 is not enlisted"),
+              std::string::npos);
 }
 
 TEST(WireServerTest, IgnoresUnknownIdsAndMessagesOfPeers) {
@@ -117,31 +118,32 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Lines, WireErrorTest,
-    testing::Values(ErrorCase{"NotJson", kStart + "{oops\n", "line 5: not JSON"},
-                    ErrorCase{"UnknownGateway", batch("{\"mystery\":{\"gatekeeper\":3}}\n"),
-                              "never enlisted"},
-                    ErrorCase{"UnknownMessage", kStart + batch("{\"mystery\":{\"gatekeeper\":3}}\n"),
-                              "mystery: unknown message"},
-                    ErrorCase{"MissingField", kStart + batch("{\"knock\":{\"gatekeeper\":3}}\n"),
-                              "knock.corr: is missing"},
-                    ErrorCase{"OutsideABatch", "{\"eofBatch\":{}}\n", "outside a batch"},
-                    ErrorCase{"EndsInsideABatch", "{\"tick\":{\"momentS\":1}}\n", "inside a batch"},
-                    ErrorCase{"BatchWithinABatch", "{\"tick\":{\"momentS\":1}}\n{\"tick\":{\"momentS\":2}}\n",
-                              "line 2: tick: the batch before has not ended"},
-                    ErrorCase{"TwoNamesInAMessage", batch("{\"bell\":{},\"knock\":{}}\n"), "line 2: message"},
-                    ErrorCase{"InvalidSettings", batch(enlistWithNegativeRate()), "plans[0].rate"}),
+    testing::Values(
+        ErrorCase{"NotJson", kStart + "{oops\n", "line 5: message: is not valid JSON"},
+        ErrorCase{"UnknownGateway", batch("{\"mystery\":{\"gatekeeper\":3}}\n"), "gateway 3 is not enlisted"},
+        ErrorCase{"UnknownMessage", kStart + batch("{\"mystery\":{\"gatekeeper\":3}}\n"),
+                  "mystery: unknown message"},
+        ErrorCase{"MissingField", kStart + batch("{\"knock\":{\"gatekeeper\":3}}\n"),
+                  "knock.corr: is missing"},
+        ErrorCase{"OutsideABatch", "{\"eofBatch\":{}}\n", "outside a batch: a tick message must come first"},
+        ErrorCase{"EndsInsideABatch", "{\"tick\":{\"momentS\":1}}\n", "the last batch has not ended"},
+        ErrorCase{"BatchWithinABatch", "{\"tick\":{\"momentS\":1}}\n{\"tick\":{\"momentS\":2}}\n",
+                  "line 2: tick: the previous batch has not ended"},
+        ErrorCase{"TwoNamesInAMessage", batch("{\"bell\":{},\"knock\":{}}\n"),
+                  "line 2: message: must be a JSON object with one key"},
+        ErrorCase{"InvalidSettings", batch(enlistWithNegativeRate()), "plans[0].rate"}),
     [](const auto& testCase) { return testCase.param.name; });
 
 // ---- Messages that gateways ignore ----------------------------------------------------------------
 
-// Requests of a few tenants, one a batch. With `ignored`, a message of a peer and a failed health check
-// precede each.
-std::string requestsOfTenants(bool ignored) {
+// Requests of a few tenants, one in each batch. With `withIgnoredMessages`, a message of a peer and a failed
+// health check precede each request.
+std::string requestsOfTenants(bool withIgnoredMessages) {
     constexpr int kRequests = 60;
     std::string input = kStart;
     for (int i = 0; i < kRequests; ++i) {
         std::string lines;
-        if (ignored) {
+        if (withIgnoredMessages) {
             std::string octets;
             for (int pair = 0; pair < i * 17 % 300; ++pair) octets += "5f";
             lines += R"({"memo":{"gatekeeper":3,"author":)" + std::to_string(i - 30) + R"(,"octets":")" +
