--- a/tests/support/failing_discovery.cpp
+++ b/tests/support/failing_discovery.cpp
@@ -8,7 +8,7 @@
 namespace gateway::net::test {
 namespace {
 
-constexpr int kFullAfterOne = 0;  // backlog with which the kernel queues one connection
+constexpr int kFullAfterOne = 0;  // the kernel queues one connection more than this
 
 int backlogFor(CallFailure failure) {
     if (failure == CallFailure::refused) return Server::kRefusing;
@@ -50,7 +50,8 @@
 
 void FailingDiscovery::failCall(const std::string& path) {
     if (failure_ == CallFailure::refused) {
-        constexpr std::chrono::seconds kUntilFirstCallWasMade{2};
+        constexpr std::chrono::seconds kUntilFirstCallWasMade{
+            2};  // enough for the gateway to make its first call
         pause(kUntilFirstCallWasMade);
         server_.listen();
         return;
@@ -73,7 +74,7 @@
     for (;;) {
         Socket call = server_.accept();
         const auto request = call.receiveMessageOrEnd();
-        if (!request || call.waitReadable(0)) continue;  // the gateway has given this one up
+        if (!request || call.waitReadable(0)) continue;  // the gateway has closed it
         EXPECT_TRUE(contains(*request, path)) << failure_;
         return call;
     }
--- a/tests/support/failing_discovery.h
+++ b/tests/support/failing_discovery.h
@@ -1,4 +1,4 @@
-// A discovery service whose calls fail in a given way.
+// A discovery service that fails its first call in a given way.
 #pragma once
 
 #include <ostream>
@@ -8,12 +8,12 @@
 
 namespace gateway::net::test {
 
-// How a call to discovery ends.
+// How a call to discovery fails.
 enum class CallFailure {
-    closed,        // after the request
-    unavailable,   // answered 503 and closed
-    truncated,     // closed within a list
-    unanswered,    // left open
+    closed,        // the connection is closed after the request
+    unavailable,   // the response is 503, then the connection is closed
+    truncated,     // the connection is closed in the middle of a list
+    unanswered,    // the connection stays open without a response
     refused,       // the connection is refused
     notConnected,  // the connection does not complete
 };
@@ -27,12 +27,14 @@
 public:
     explicit FailingDiscovery(CallFailure failure);
 
-    // Lets the call that is being made, which must request `path`, fail. From then on it can be reached.
+    // Makes the gateway's current call fail; its request must contain `path`. Accepts connections from then
+    // on.
     void failCall(const std::string& path);
-    // Returns a call that is still open, of all that were made since. It must request `path`.
+    // Accepts calls until it finds one that the gateway has not closed, and returns that one. Its request
+    // must contain `path`.
     Socket acceptOpenCall(const std::string& path) const;
 
-    // False where no connection can be accepted before failCall().
+    // Returns false if no connection can be accepted before failCall().
     bool acceptsConnections() const;
     CallFailure failure() const { return failure_; }
     const Server& server() const { return server_; }
@@ -40,8 +42,8 @@
 private:
     CallFailure failure_;
     Server server_;
-    Socket queued_;      // notConnected: fills the accept queue
-    Socket failedCall_;  // unanswered: kept open
+    Socket queued_;      // for notConnected: fills the accept queue
+    Socket failedCall_;  // for unanswered: stays open
 };
 
 }  // namespace gateway::net::test
--- a/tests/support/gateway_options.h
+++ b/tests/support/gateway_options.h
@@ -1,4 +1,4 @@
-// The configuration of a gateway under test, and the endpoint lists that discovery sends it.
+// The configuration of a gateway under test, and the endpoint lists that discovery sends to it.
 #pragma once
 
 #include <sys/resource.h>
@@ -28,11 +28,11 @@
 
 constexpr int kOneLine = -1;
 
-// A list that is complete, or that has only what changed, as a JSON document.
+// A JSON document with all endpoints (a snapshot), or with those that changed (a delta).
 std::string snapshotDocument(int index, const ListedEndpoints& endpoints, int indentation = kOneLine);
 std::string deltaDocument(int index, const ListedEndpoints& endpoints);
 
-// The same as one line of a watch, in a chunk of its own.
+// Such a document as one line of a watch, in an HTTP chunk of its own.
 std::string snapshotChunk(int index, const ListedEndpoints& endpoints);
 std::string deltaChunk(int index, const ListedEndpoints& endpoints);
 
@@ -40,22 +40,22 @@
 
 using Seconds = std::chrono::duration<double>;
 
-// The values of the setting "discovery".
+// The values of the key "discovery" in the settings.
 constexpr const char* kPushedDiscovery = "push";
 constexpr const char* kPolledDiscovery = "ask";
 
-// The settings of the fleet: three classes ("load" safe, "change" keyed, "spend" unsafe), a plan with a quota
-// ("team") and one without ("free").
+// The settings of the gateways: three request classes ("load" is safe, "change" keyed, "spend" unsafe), a
+// plan with a quota ("team") and a plan without one ("free").
 struct SettingsSpec {
     int gatewayIndex = 0;
     int gatewayCount = 3;
-    Seconds latencyObjective{9};  // of each class, as the deadline
-    Seconds deadline{9};
+    Seconds latencyObjective{9};                 // of every class
+    Seconds deadline{9};                         // of every class
     Seconds idempotencyWindow{30};               // of the keyed class
-    std::string deduplicationScope = "cell";     // the same: "all", "zone" or "cell"
+    std::string deduplicationScope = "cell";     // of the keyed class: "all", "zone" or "cell"
     double quotaRate = 0.01;                     // of the plan with a quota: cost per second
-    double quotaBurst = 40;                      // the same: cost
-    std::optional<Seconds> counterTimeout = {};  // nothing: the counter is not called
+    double quotaBurst = 40;                      // of the plan with a quota: cost
+    std::optional<Seconds> counterTimeout = {};  // without a value the counter is not called
     bool reconciliationEnabled = false;
     bool cancellationAllowed = true;
     Seconds connectTimeout{5};
@@ -64,13 +64,13 @@
     std::optional<Seconds> maxPollInterval = {};
 };
 
-// Objectives and deadlines of 400 s, so that no wait, all of which are fractions of them, ends by itself.
+// Objectives and deadlines of 400 s. All waits are fractions of these, so none expires during a test.
 SettingsSpec withLongDeadlines(SettingsSpec settings = {});
 SettingsSpec withCounter(SettingsSpec settings, Seconds timeout);
-// `mode`: kPushedDiscovery or kPolledDiscovery; a polled one may go uncalled for `maxPollInterval`.
+// `mode` is kPushedDiscovery or kPolledDiscovery. `maxPollInterval` is the longest time between two polls.
 SettingsSpec withDiscovery(const std::string& mode, Seconds maxPollInterval);
 SettingsSpec withoutCancellation(SettingsSpec settings);
-// Draining endpoints may be used for 10 min, so that only the endpoint list keeps attempts away from them.
+// A drain grace period of 10 min: no endpoint stops receiving attempts because this period ends.
 SettingsSpec withLongDrainGracePeriod();
 
 // The JSON document of the key "settings".
@@ -78,11 +78,12 @@
 
 // ---- The process ----------------------------------------------------------------------------------------
 
-// What a test may change of net::Timing, by the same names. Where there is no value the default holds.
+// The members of net::Timing that tests set, under the same names. A member without a value keeps the default
+// of net::Timing.
 struct TimingSpec {
     using Milliseconds = std::chrono::milliseconds;
 
-    // Long enough for a slow machine to see the gateway listen after SIGTERM.
+    // Long enough for a test on a slow machine to connect after SIGTERM.
     Milliseconds listenAfterShutdown{3000};
     Milliseconds idleGracePeriod{3000};
     Milliseconds initialUpdateWait{0};
@@ -92,18 +93,18 @@
 };
 
 struct GatewayOptions {
-    ListedEndpoints knownEndpoints = {};  // the list that it starts with, of index kKnownIndex
+    ListedEndpoints knownEndpoints = {};  // of the configured list, whose index is kKnownIndex
     SettingsSpec settings = {};
-    std::string discovery = {};  // address; empty: GatewayProcess::discovery()
-    std::string counter = {};    // address; empty: none
-    int maxSockets = 256;        // that the configuration allows
+    std::string discovery = {};  // address; empty: that of GatewayProcess::discovery()
+    std::string counter = {};    // address; empty: no counter
+    int maxSockets = 256;        // "limits.sockets" of the configuration
     TimingSpec timing = {};
-    rlim_t maxDescriptors = 0;  // that the system allows the process; 0: not limited
+    rlim_t maxDescriptors = 0;  // RLIMIT_NOFILE of the process; 0: not changed
 };
 
 constexpr int kKnownIndex = 41;
 
-// A gateway that knows one endpoint, "w".
+// The options of a gateway whose configured list has one endpoint, "w".
 GatewayOptions optionsWithEndpoint(const Server& endpoint, const SettingsSpec& settings = {});
 
 // The JSON document that EDGE_CONFIG names.
--- a/tests/support/gateway_process.cpp
+++ b/tests/support/gateway_process.cpp
@@ -58,8 +58,8 @@
     const bool isListening = ::read(readEnd, &port_, sizeof port_) == sizeof port_;
     ::close(readEnd);
     if (!isListening)
-        throw std::runtime_error("the gateway ended with " + std::to_string(waitForExit()) +
-                                 " before it listened");
+        throw std::runtime_error("the gateway exited with status " + std::to_string(waitForExit()) +
+                                 " before it was listening");
 }
 
 int GatewayProcess::serveAndReportPort(int reportTo) const {
@@ -105,7 +105,7 @@
 }
 
 int GatewayProcess::waitForExit() {
-    constexpr int kSignalOffset = 128;  // as shells report it
+    constexpr int kSignalOffset = 128;  // the convention of shells
     int status = 0;
     ::waitpid(std::exchange(pid_, -1), &status, 0);
     return WIFEXITED(status) ? WEXITSTATUS(status) : kSignalOffset + WTERMSIG(status);
--- a/tests/support/gateway_process.h
+++ b/tests/support/gateway_process.h
@@ -1,4 +1,4 @@
-// A gateway in a process of its own, before loopback peers.
+// A gateway in a process of its own, whose peers are on loopback.
 #pragma once
 
 #include <sys/types.h>
@@ -14,7 +14,7 @@
 // Runs serve() in a forked process. Kills it at the end of the test, if it has not exited by then.
 class GatewayProcess {
 public:
-    // Returns once the gateway listens. Throws std::runtime_error where it ends before that.
+    // Returns once the gateway is listening. Throws std::runtime_error if it exits before that.
     explicit GatewayProcess(GatewayOptions options);
     GatewayProcess(const GatewayProcess&) = delete;
     GatewayProcess& operator=(const GatewayProcess&) = delete;
@@ -22,27 +22,30 @@
 
     Socket connectClient() const { return connectTo(port_); }
 
-    // Where the gateway finds discovery, unless GatewayOptions::discovery is set.
+    // The discovery service of the gateway, unless GatewayOptions::discovery names another one.
     Server& discovery() { return discovery_; }
 
-    // Replaces the file that EDGE_CONFIG names, and sends SIGHUP.
+    // Replaces the file that EDGE_CONFIG names by `text`, and sends SIGHUP.
     void reload(const std::string& text) const;
-    // The same with other addresses; without `counter` that one stays.
+    // Reloads the configuration with another address of discovery and, if `counter` is set, of the counter.
     void reload(const Server& discovery, const Server* counter = nullptr) const;
 
     // Sends SIGTERM.
     void terminate() const;
-    // Waits for the end of the process. Returns its exit status, or 128 + the signal that ended it.
+    // Waits until the process exits. Returns its exit status, or 128 + the number of the signal that ended
+    // it.
     int waitForExit();
 
-    // Stops the process while `act` runs: it finds all that comes meanwhile at once, in the order of arrival.
+    // Stops the process while `act` runs. When it continues it finds all input that `act` caused at once, in
+    // the order of arrival.
     void whileStopped(const std::function<void()>& act) const;
 
     long residentKilobytes() const;
 
 private:
     void start();
-    // In the forked process: serves until SIGTERM, and returns the exit status.
+    // Runs in the forked process. Writes the port to the pipe `reportTo`, serves until SIGTERM, and returns
+    // the exit status.
     int serveAndReportPort(int reportTo) const;
 
     GatewayOptions options_;
--- a/tests/support/gateway_test.cpp
+++ b/tests/support/gateway_test.cpp
@@ -16,7 +16,7 @@
         if (requestReadiness(client) == 200) return;
         pause(std::chrono::milliseconds(kPollIntervalMs));
     }
-    ADD_FAILURE() << "the gateway did not become ready";
+    ADD_FAILURE() << "the gateway did not become ready within " << kTestTimeoutMs << " ms";
 }
 
 void waitUntilNotReady(Socket& client) {
--- a/tests/support/gateway_test.h
+++ b/tests/support/gateway_test.h
@@ -1,4 +1,4 @@
-// The base of tests that run a gateway process, and the steps that they share.
+// The fixture of tests that run one gateway process, and steps that tests of gateway processes share.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -14,18 +14,18 @@
 
 namespace gateway::net::test {
 
-// Sends GET /-/ready and returns the status.
+// Sends GET /-/ready and returns the status of the response.
 int requestReadiness(Socket& client);
-// Sends GET /-/ready until it is answered 200, or for kTestTimeoutMs; then the test fails.
+// Repeats GET /-/ready until the response is 200. The test fails if that takes longer than kTestTimeoutMs.
 void expectReady(const GatewayProcess& gateway);
-// Sends GET /-/ready until it is not answered 200, as after SIGTERM.
+// Repeats GET /-/ready until the response is not 200, as after SIGTERM.
 void waitUntilNotReady(Socket& client);
-// Returns once the gateway has handled all that arrived there before.
+// Returns once the gateway has handled all input that arrived before the call.
 void waitUntilHandled(const GatewayProcess& gateway);
 
 // Accepts the connection of an attempt and reads its request.
 Socket acceptAttempt(const Server& endpoint);
-// The same at whichever endpoint it comes to.
+// An attempt that reached one of two endpoints.
 struct AttemptAtOneOfTwo {
     Socket connection;
     const Server& endpoint;
@@ -33,15 +33,15 @@
 };
 AttemptAtOneOfTwo acceptAttemptAtEither(const Server& first, const Server& second);
 
-// Sends `count` requests one after the other, and expects that each reaches `endpoint` on a connection of its
-// own and is served.
+// Sends `count` requests one after the other. Expects that each reaches `endpoint` on a connection of its
+// own, and that its client receives the response.
 void expectServedBy(const GatewayProcess& gateway, const Server& endpoint, int count);
 
-// A test with one gateway, which it starts itself, and one endpoint.
+// A test with one endpoint, and with one gateway, which the test starts.
 class GatewayTest : public testing::Test {
 protected:
     GatewayProcess& startGateway(GatewayOptions options);
-    // In front of `endpoint` alone.
+    // Starts a gateway whose only endpoint is `endpoint`.
     GatewayProcess& startGateway(const SettingsSpec& settings = {});
 
     GatewayProcess& gateway() { return *gateway_; }
@@ -49,7 +49,7 @@
 
     // Sends the request and returns the connection to `endpoint` on which it arrived, with the request read.
     Socket sendToEndpoint(const Socket& client, const RequestSpec& request) const;
-    // Serves one request and returns the connection to `endpoint`, which is idle now.
+    // Serves one request and returns the connection to `endpoint`, which is idle from then on.
     Socket openIdleConnection() const;
 
     Server endpoint;
--- a/tests/support/loopback_socket.cpp
+++ b/tests/support/loopback_socket.cpp
@@ -27,7 +27,7 @@
     return address;
 }
 
-// The size of the HTTP message at the front of `input`, or nothing while it is incomplete.
+// Returns the size of the HTTP message at the start of `input`, or nothing if the message is incomplete.
 std::optional<std::size_t> completeMessageSize(const std::string& input) {
     constexpr std::string_view kLengthField = "Content-Length: ";
     constexpr std::string_view kEndOfHead = "\r\n\r\n";
@@ -99,7 +99,8 @@
 }
 
 bool Socket::readSome() {
-    if (!waitReadable()) throw std::runtime_error("received nothing within the time limit");
+    if (!waitReadable())
+        throw std::runtime_error("received nothing within " + std::to_string(kTestTimeoutMs) + " ms");
     std::array<char, kReadSize> bytes{};
     const ssize_t size = ::recv(fd_, bytes.data(), bytes.size(), 0);
     if (size <= 0) return false;
@@ -120,7 +121,7 @@
 
 std::string Socket::receiveMessage() {
     auto message = receiveMessageOrEnd();
-    if (!message) throw std::runtime_error("the connection ended before a complete message");
+    if (!message) throw std::runtime_error("the connection ended before a complete message arrived");
     return *message;
 }
 
@@ -134,18 +135,19 @@
     sockaddr_in address = loopbackAddress(0);
     socklen_t size = sizeof address;
     if (::bind(fd(), reinterpret_cast<sockaddr*>(&address), size) != 0)
-        throw std::runtime_error("cannot bind");
+        throw std::runtime_error("cannot bind a socket to a loopback port");
     if (backlog != kRefusing) listen(backlog);
     ::getsockname(fd(), reinterpret_cast<sockaddr*>(&address), &size);
     port_ = ntohs(address.sin_port);
 }
 
 void Server::listen(int backlog) const {
-    if (::listen(fd(), backlog) != 0) throw std::runtime_error("cannot listen");
+    if (::listen(fd(), backlog) != 0) throw std::runtime_error("cannot listen on a loopback port");
 }
 
 Socket Server::accept() const {
-    if (!waitReadable()) throw std::runtime_error("nobody connected within the time limit");
+    if (!waitReadable())
+        throw std::runtime_error("no connection arrived within " + std::to_string(kTestTimeoutMs) + " ms");
     return Socket(::accept(fd(), nullptr, nullptr));
 }
 
@@ -153,7 +155,7 @@
     Socket socket(::socket(AF_INET, SOCK_STREAM, 0));
     const sockaddr_in address = loopbackAddress(port);
     if (::connect(socket.fd(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0)
-        throw std::runtime_error("cannot connect");
+        throw std::runtime_error("cannot connect to loopback port " + std::to_string(port));
     return socket;
 }
 
@@ -169,7 +171,9 @@
 
 std::vector<const Socket*> waitForReadable(const std::vector<const Socket*>& sockets) {
     auto readable = pollReadable(sockets, kTestTimeoutMs);
-    if (readable.empty()) throw std::runtime_error("no socket became readable within the time limit");
+    if (readable.empty())
+        throw std::runtime_error("no socket became readable within " + std::to_string(kTestTimeoutMs) +
+                                 " ms");
     return readable;
 }
 
--- a/tests/support/loopback_socket.h
+++ b/tests/support/loopback_socket.h
@@ -1,4 +1,5 @@
-// Sockets on loopback for the scripted peers of a gateway. They wait for events, never for a fixed time.
+// Sockets on loopback for tests that act as the peers of a gateway. They wait for events, not for fixed
+// times.
 #pragma once
 
 #include <chrono>
@@ -8,7 +9,7 @@
 
 namespace gateway::net::test {
 
-constexpr int kTestTimeoutMs = 20000;  // only a hanging test comes near this
+constexpr int kTestTimeoutMs = 20000;  // of each wait; reached only if a test hangs
 
 // One end of a TCP connection, which it owns. Functions that wait throw std::runtime_error after
 // kTestTimeoutMs.
@@ -24,22 +25,23 @@
     int fd() const { return fd_; }
 
     void close();
-    // Ends the connection with a TCP reset, as a process that dies does.
+    // Closes the connection with a TCP reset, as when a process crashes.
     void reset();
-    // Ends the sending side only.
+    // Closes the sending side only.
     void closeSending() const;
 
     void write(const std::string& text) const;
 
-    // True once there is input, a connection to accept, or the end of the connection.
+    // Waits for input, a connection to accept, or the end of the connection. Returns false after `timeoutMs`.
     bool waitReadable(int timeoutMs = kTestTimeoutMs) const;
-    // Reads what has come, waiting for the first byte; false at the end of the connection.
+    // Waits for input and reads what is there. Returns false at the end of the connection.
     bool readSome();
-    // Receives one HTTP message with a body by Content-Length; nothing at the end of the connection.
+    // Receives one HTTP message, whose body has the length in Content-Length. Returns nothing at the end of
+    // the connection.
     std::optional<std::string> receiveMessageOrEnd();
-    // The same, where the connection must not end first.
+    // Receives one HTTP message. Throws std::runtime_error if the connection ends first.
     std::string receiveMessage();
-    // Waits until the peer closes; false where it sent anything before.
+    // Waits until the peer closes the connection. Returns false if it sends anything before that.
     bool waitForClose();
 
 private:
@@ -50,7 +52,7 @@
 // A listening socket on an ephemeral port.
 class Server : public Socket {
 public:
-    // As a backlog: connections are refused until listen() is called.
+    // A backlog with which connections are refused until listen() is called.
     static constexpr int kRefusing = -1;
     static constexpr int kDefaultBacklog = 64;
 
@@ -67,26 +69,26 @@
 
 Socket connectTo(unsigned short port);
 
-// A server whose accept queue is full, so that a new connection stays half open.
+// A server whose accept queue is full, so that a new connection does not complete.
 class SaturatedServer : public Server {
 public:
     SaturatedServer();
 
-    // Frees the queue and accepts the connection that was waiting. It completes when the kernel sends its
-    // next SYN, about 1 s or 3 s after the first one.
+    // Empties the queue, and accepts the connection that did not fit into it. That one completes when the
+    // client's kernel repeats the SYN, about 1 s or 3 s after the first one.
     Socket acceptPending() const;
 
 private:
     Socket queued_;
 };
 
-// Waits until at least one of the sockets is readable (see Socket::waitReadable) and returns those that are.
+// Waits until at least one of the sockets is readable (see Socket::waitReadable). Returns the readable ones.
 std::vector<const Socket*> waitForReadable(const std::vector<const Socket*>& sockets);
 
-// The sockets that are readable now.
+// Returns the sockets that are readable now, without waiting.
 std::vector<const Socket*> readableNow(const std::vector<const Socket*>& sockets);
 
-// Lets time pass, where the subject of a test is time itself.
+// Sleeps. For tests of behaviour that depends on elapsed time; other tests wait for events.
 void pause(std::chrono::milliseconds time);
 
 }  // namespace gateway::net::test
--- a/tests/support/request_spec.h
+++ b/tests/support/request_spec.h
@@ -1,4 +1,4 @@
-// Requests as clients send them to a gateway with the settings of SettingsSpec.
+// Client requests for a gateway that is configured by a SettingsSpec.
 #pragma once
 
 #include <chrono>
@@ -7,7 +7,7 @@
 namespace gateway::net::test {
 
 constexpr std::chrono::milliseconds kDefaultTimeout = std::chrono::seconds(8);
-// For tests that hold a request: it must not run out of time on a slow machine. See withLongDeadlines().
+// For requests that a test delays: they must not time out on a slow machine. See withLongDeadlines().
 constexpr std::chrono::milliseconds kLongTimeout = std::chrono::seconds(100);
 
 constexpr const char* kDefaultTenant = "00000000b4d65521";
@@ -20,13 +20,13 @@
 
     RequestSpec withId(std::string id) const;
     RequestSpec withTenant(std::string tenant) const;  // 16 hexadecimal digits
-    RequestSpec withoutQuota() const;                  // of a plan for which the counter is not called
+    RequestSpec withoutQuota() const;                  // with a plan for which the counter is not called
     RequestSpec withTimeout(std::chrono::milliseconds timeout) const;
     RequestSpec withBody(std::string body) const;
     RequestSpec withCost(const std::string& cost) const;
-    RequestSpec withMetering(std::string metering) const;  // the header X-Metering as it is sent
+    RequestSpec withMetering(std::string metering) const;  // value of the header X-Metering
 
-    // The HTTP message: GET for the safe class, else POST with an idempotency key.
+    // The HTTP message: a GET for the safe class, a POST with an idempotency key for the other classes.
     std::string text() const;
 
 private:
@@ -39,16 +39,16 @@
     std::string metering_ = "units=1,spread=1,first=0";
 };
 
-// A GET that may be repeated at will.
+// A GET that may be repeated any number of times.
 RequestSpec safeRequest(const std::string& id);
-// A POST whose repeats with the same idempotency key the endpoints drop.
+// A POST that endpoints run only once for each idempotency key.
 RequestSpec keyedRequest(const std::string& id);
 // A POST that must not be repeated.
 RequestSpec unsafeRequest(const std::string& id);
 
-// A tenant whose current slice on the counter is at most 1 s old. Slices of the plan with a quota are 20 s
-// long, and shifted by the tenant's number. While a slice lasts the counter sees one name; a test that runs
-// into the next slice would see another name, and connections for it.
+// Returns a tenant whose current window slice began at most 1 s ago. With the quota of SettingsSpec a slice
+// lasts 20 s, and its start depends on the tenant. A test that runs into the next slice would see calls to
+// the counter with another name, possibly on another connection.
 std::string tenantWithYoungSlice();
 
 }  // namespace gateway::net::test
