--- a/tests/integration/client_disconnect_during_attempt_test.cpp
+++ b/tests/integration/client_disconnect_during_attempt_test.cpp
@@ -1,4 +1,4 @@
-// Clients that disconnect while an attempt of their request is in flight.
+// Clients that disconnect while an attempt of their request is being made.
 #include <fstream>
 #include <iomanip>
 #include <sstream>
@@ -10,7 +10,7 @@
 namespace gateway::net::test {
 namespace {
 
-// The way in which the client disconnects, and whether attempts may be cancelled.
+// How the client disconnects, and whether attempts may be cancelled.
 using DisconnectAndCancellation = std::tuple<Disconnect, bool>;
 
 std::string nameOf(const testing::TestParamInfo<DisconnectAndCancellation>& info) {
@@ -44,7 +44,7 @@
     startGateway(optionsWithEndpoint(saturated, settings()));
     Socket client = connectClient();
     client.write(uncountedRequest("gone").text());
-    waitUntilHandled(gateway());  // it is being connected for by then
+    waitUntilHandled(gateway());  // the gateway has started to connect to the endpoint
     Socket connection;
     gateway().whileStopped([&] {
         connection = saturated.acceptPending();
@@ -54,7 +54,7 @@
     expectOnlyNextRequestForwarded({&saturated});
 }
 
-// What was never written is not charged, also where attempts may not be cancelled.
+// A request that was not written to an endpoint is refunded, even if attempts may not be cancelled.
 TEST_P(DisconnectWhileConnectingTest, RefundsAndDoesNotSendWhenClientClosesBeforeConnectionCompletes) {
     GatewayOptions options = optionsWithEndpoint(saturated, withCounter(settings(), Seconds(20)));
     options.counter = counter.address();
@@ -64,7 +64,7 @@
     Socket call = counter.accept();
     EXPECT_TRUE(contains(call.receiveMessage(), "?add=1&"));
     call.write(okResponse("2"));
-    waitUntilHandled(gateway());  // it is being connected for by then
+    waitUntilHandled(gateway());  // the gateway has started to connect to the endpoint
     disconnectClient(client);
     EXPECT_TRUE(contains(call.receiveMessage(), "?add=-1&"));
     saturated.accept();
@@ -75,10 +75,10 @@
     EXPECT_TRUE(isRequest(connection.receiveMessage(), "r2"));
     connection.write(okResponse("served"));
     EXPECT_EQ(statusOf(other.receiveMessage()), 200);
-    EXPECT_FALSE(saturated.waitReadable(1500));  // the kernel sends a SYN again after 1 s
+    EXPECT_FALSE(saturated.waitReadable(1500));  // the kernel repeats a SYN after 1 s
 }
 
-// ---- As the attempt fails -------------------------------------------------------------------------------
+// ---- Disconnects when an attempt fails ------------------------------------------------------------------
 
 enum class AttemptFailure { notStarted, serverError, invalidResponse, closed, reset };
 std::ostream& operator<<(std::ostream& out, AttemptFailure failure) {
@@ -86,7 +86,7 @@
     return out << kNames[static_cast<std::size_t>(failure)];
 }
 
-// False where the connection to the endpoint stays open.
+// Returns false if the connection to the endpoint stays open.
 bool endsConnection(AttemptFailure failure) {
     return failure != AttemptFailure::notStarted && failure != AttemptFailure::serverError;
 }
@@ -126,7 +126,7 @@
         client.write(safeRequest("gone").withoutQuota().withTimeout(kLongTimeout).text());
         return acceptAttemptAtEither(endpoint, otherEndpoint);
     }
-    // On the attempt's connection too, if that is open.
+    // Expects no retry on a new connection, nor on the attempt's `connection` if that stays open.
     void expectNoRetry(Socket& connection) const {
         std::vector<Socket*> open;
         if (!endsConnection(failure())) open.push_back(&connection);
@@ -164,14 +164,14 @@
     auto attempt = sendSafeRequest(client);
     disconnectClient(client);
     waitUntilHandled(gateway());
-    EXPECT_FALSE(attempt.connection.waitReadable(0));  // it is not cancelled
+    EXPECT_FALSE(attempt.connection.waitReadable(0));  // the attempt is not cancelled
     failAttempt(attempt.connection, failure());
     expectNoRetry(attempt.connection);
 }
 
-// ---- As the connection is refused -----------------------------------------------------------------------
+// ---- Disconnects when the connection is refused ---------------------------------------------------------
 
-// True while the kernel tries to connect to `port`.
+// Returns true if a connection to `port` on loopback has not been established yet.
 bool isBeingConnectedTo(unsigned short port) {
     constexpr const char* kSynSent = "02";
     std::ostringstream peer;
@@ -199,7 +199,7 @@
         watch = gateway().discovery().accept();
         watch.receiveMessage();
     }
-    // Returns once the endpoint is in force.
+    // Sends the endpoint in a delta, and returns once the gateway has applied it.
     void announce(int index, const ListedEndpoint& listed) {
         watch.write(kChunkedHead + deltaChunk(index, {listed}));
         watch.close();
@@ -215,24 +215,24 @@
                          testing::PrintToStringParamName());
 
 TEST_P(DisconnectAsConnectionIsRefusedTest, DoesNotRetry) {
-    // Made after the gateway's process, which would hold its descriptor open otherwise.
+    // Created after the gateway's process was forked, so that the process holds no copy of its descriptor.
     SaturatedServer refusing;
     announce(42, listedEndpoint("w", refusing));
     Socket client = connectClient();
     client.write(uncountedRequest("gone").text());
     waitUntilHandled(gateway());
     ASSERT_TRUE(isBeingConnectedTo(refusing.port()));
-    announce(43, listedEndpoint("v", endpoint));  // where a retry could go
+    announce(43, listedEndpoint("v", endpoint));  // an endpoint for a retry
     gateway().whileStopped([&] {
         refusing.close();
-        // Until the kernel sends a SYN again, after about 1 s.
+        // The connection is refused when the kernel repeats the SYN, after about 1 s.
         while (isBeingConnectedTo(refusing.port())) pause(std::chrono::milliseconds(1));
         disconnect(client, GetParam());
     });
     expectOnlyNextRequestForwarded({&endpoint});
 }
 
-// ---- As the endpoint responds ---------------------------------------------------------------------------
+// ---- Disconnects before the response is complete --------------------------------------------------------
 
 class DisconnectDuringAttemptTest : public GatewayTest {};
 
@@ -244,7 +244,7 @@
     EXPECT_TRUE(connection.waitForClose());
 }
 
-// A part of a response, or a complete one, comes as the connection to the endpoint is closed.
+// Part of a response, or all of it, arrives when the gateway closes the connection to the endpoint.
 TEST_F(DisconnectDuringAttemptTest, DiscardsResponseToCancelledAttempt) {
     for (const std::string& response : {std::string("HTTP/1.1 200 O"), okResponse("late")}) {
         SCOPED_TRACE(response);
--- a/tests/integration/client_disconnect_fixture.cpp
+++ b/tests/integration/client_disconnect_fixture.cpp
@@ -38,7 +38,7 @@
     std::vector<const Socket*> watched(connections.begin(), connections.end());
     watched.insert(watched.end(), endpoints.begin(), endpoints.end());
     const auto readable = waitForReadable(watched);
-    ASSERT_EQ(readable.size(), 1U) << "more than one attempt was begun";
+    ASSERT_EQ(readable.size(), 1U) << "the gateway made an attempt besides that of the next request";
     Socket accepted;
     const auto known = std::find(connections.begin(), connections.end(), readable.front());
     if (known == connections.end())
@@ -48,7 +48,7 @@
     EXPECT_TRUE(isRequest(forwarded, "next")) << forwarded;
     connection.write(okResponse("served"));
     EXPECT_EQ(statusOf(client.receiveMessage()), 200);
-    EXPECT_TRUE(readableNow(watched).empty()) << "another attempt was begun";
+    EXPECT_TRUE(readableNow(watched).empty()) << "the gateway made an attempt after that of the next request";
 }
 
 }  // namespace gateway::net::test
--- a/tests/integration/client_disconnect_fixture.h
+++ b/tests/integration/client_disconnect_fixture.h
@@ -1,4 +1,4 @@
-// Clients that disconnect while a request of theirs is in flight.
+// The fixture of tests in which a client disconnects while its request is in flight.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -11,26 +11,27 @@
 
 namespace gateway::net::test {
 
+// How a client disconnects.
 enum class Disconnect {
     close,
     reset,
-    halfClose,  // of its sending side: on the wire it begins like a close, and is taken for one
+    halfClose,  // of its sending side: the gateway can't tell it from a close, and handles it as one
 };
 std::ostream& operator<<(std::ostream& out, Disconnect disconnect);
 
 void disconnect(Socket& client, Disconnect how);
 
-// No attempt may begin once its client has disconnected. To force the order of events the gateway is stopped
-// while both its peers and its client act. What the kernel reports first is handled first, so what would
-// begin an attempt is sent before the client disconnects. A request of another client then shows what was
-// begun before it.
+// No attempt may begin after its client has disconnected. Tests stop the gateway while peers and client act,
+// so that it finds both events at once. It handles events in the order in which the kernel reports them, so
+// tests send the input that would begin an attempt before the client disconnects. A request of another client
+// then shows whether an attempt was begun.
 class ClientDisconnectFixture : public GatewayTest {
 protected:
     // A request without a quota, so that the counter is not called.
     static RequestSpec uncountedRequest(const std::string& id);
 
-    // Expects that the next attempt on new connections to `endpoints`, or on `connections`, is the one of
-    // another client, and the only one.
+    // Sends a request of another client. Expects that its attempt is the only one on new connections to
+    // `endpoints` and on `connections`.
     void expectOnlyNextRequestForwarded(const std::vector<const Server*>& endpoints,
                                         const std::vector<Socket*>& connections = {}) const;
 };
--- a/tests/integration/client_disconnect_test.cpp
+++ b/tests/integration/client_disconnect_test.cpp
@@ -39,7 +39,7 @@
                          testing::Values(Disconnect::close, Disconnect::reset, Disconnect::halfClose),
                          testing::PrintToStringParamName());
 
-// ---- While the counter is called ------------------------------------------------------------------------
+// ---- Disconnects during a counter call ------------------------------------------------------------------
 
 TEST_P(ClientDisconnectTest, RefundsAndDoesNotForwardWhenClientClosesDuringCounterCall) {
     startGatewayWithCounter();
@@ -51,7 +51,7 @@
     expectOnlyNextRequestForwarded({&endpoint});
 }
 
-// The counter's reply and the client's end are found together.
+// The gateway finds the counter's reply and the disconnect at once.
 TEST_P(ClientDisconnectTest, RefundsAndDoesNotForwardWhenClientClosesBeforeCounterReply) {
     startGatewayWithCounter();
     Socket idle = openIdleConnection();
@@ -61,18 +61,18 @@
         call.write(okResponse("2"));
         disconnect(client, GetParam());
     });
-    expectRefund(call);  // with the next reconciliation
+    expectRefund(call);  // as part of the next reconciliation
     expectOnlyNextRequestForwarded({&endpoint}, {&idle});
 }
 
-// The counter does not reply, and a timer ends the wait. On a machine so slow that it does so before the
-// gateway is stopped, the client has not disconnected yet, and a longer wait is tried.
+// The counter does not reply, and a timer ends the wait. If that happens before the gateway is stopped, which
+// a slow machine can cause, the test starts again with a longer wait.
 TEST_P(ClientDisconnectTest, DoesNotForwardWhenClientClosesAsCounterWaitExpires) {
     for (double waitSeconds = 1;; waitSeconds *= 3) {
         ASSERT_LT(waitSeconds, 30);
         SettingsSpec settings = withLongDeadlines();
         settings.latencyObjective = Seconds(10 * waitSeconds);
-        counter = Server();  // without connections of the gateway before
+        counter = Server();  // a new one, without connections of the previous gateway
         startGatewayWithCounter(settings);
         Socket idle = openIdleConnection();
         Socket client = connectClient();
@@ -89,13 +89,13 @@
     }
 }
 
-// ---- As the request arrives -----------------------------------------------------------------------------
+// ---- Disconnects when the request arrives ---------------------------------------------------------------
 
 TEST_P(ClientDisconnectTest, DoesNotForwardRequestThatArrivesWithDisconnect) {
     startGatewayWithoutCounter();
     Socket idle = openIdleConnection();
     Socket client = connectClient();
-    waitUntilHandled(gateway());  // the client has been accepted by then
+    waitUntilHandled(gateway());  // the gateway has accepted the client
     gateway().whileStopped([&] {
         client.write(uncountedRequest("gone").text());
         disconnect(client, GetParam());
@@ -103,7 +103,7 @@
     expectOnlyNextRequestForwarded({&endpoint}, {&idle});
 }
 
-// Pipelined bytes that are not read yet precede the end of the connection.
+// Pipelined bytes that the gateway has not read yet precede the end of the connection.
 TEST_P(ClientDisconnectTest, DoesNotForwardRequestThatArrivesWithPipelinedBytesAndDisconnect) {
     startGatewayWithoutCounter();
     Socket idle = openIdleConnection();
@@ -116,7 +116,7 @@
     expectOnlyNextRequestForwarded({&endpoint}, {&idle});
 }
 
-// ---- Behind a request that was forwarded ----------------------------------------------------------------
+// ---- Pipelined requests after one that was forwarded ----------------------------------------------------
 
 TEST_P(ClientDisconnectTest, DoesNotForwardPipelinedRequestWhenClientClosesDuringAttempt) {
     startGatewayWithoutCounter();
@@ -142,7 +142,7 @@
     expectOnlyNextRequestForwarded({&endpoint}, {&connection});
 }
 
-// ---- Behind more bytes than the gateway keeps -----------------------------------------------------------
+// ---- Disconnects after more pipelined bytes than the gateway keeps --------------------------------------
 
 class PipelinedDisconnectTest : public ClientDisconnectTest {};
 
@@ -156,16 +156,17 @@
         return safeRequest(id).withTenant(tenant).withTimeout(kLongTimeout);
     };
     Socket call = sendAndAcceptCounterCall(client, counted("r1"));
-    // Far more than the kernel holds for a reader that does not read.
-    const std::string ahead = largeRequest("ahead").text();
-    for (int i = 0; i < 1000; ++i) client.write(ahead);
+    // Far more than the kernel's buffers hold if the gateway does not read.
+    const std::string pipelined = largeRequest("ahead").text();
+    for (int i = 0; i < 1000; ++i) client.write(pipelined);
     disconnect(client, GetParam());
     expectRefund(call);
     call.write(okResponse("1") + okResponse("0"));
     Socket other = connectClient();
     other.write(counted("r2").text());
     EXPECT_TRUE(contains(call.receiveMessage(), "?add=1&"));
-    call.write(okResponse("2"));  // not the first call of its slice, so the closed slice is not read
+    // Not the first call for this slice, so the gateway does not also read the closed slice before it.
+    call.write(okResponse("2"));
     Socket connection = endpoint.accept();
     EXPECT_TRUE(isRequest(connection.receiveMessage(), "r2"));
     connection.write(okResponse("served"));
--- a/tests/integration/client_limits_test.cpp
+++ b/tests/integration/client_limits_test.cpp
@@ -1,4 +1,5 @@
-// Limits on client connections, in number and in time, of a whole gateway process.
+// Limits of a gateway process on the number of client connections and on the time that requests take to
+// arrive.
 #include <gtest/gtest.h>
 
 #include <list>
@@ -50,7 +51,7 @@
     options.maxDescriptors = 40;
     const GatewayProcess gateway(options);
     std::list<Socket> clients;
-    for (int i = 0; i < 60; ++i) {  // more than the process may hold: the longest idle ones are closed
+    for (int i = 0; i < 60; ++i) {  // more than the limit: the gateway closes the longest idle ones
         clients.push_back(gateway.connectClient());
         expectReady(clients.back());
     }
--- a/tests/integration/counter_calls_test.cpp
+++ b/tests/integration/counter_calls_test.cpp
@@ -1,4 +1,4 @@
-// Calls of a whole gateway process to the counter service, over loopback sockets.
+// Calls of a gateway process to the counter service.
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -10,7 +10,7 @@
 namespace gateway::net::test {
 namespace {
 
-constexpr std::size_t kLanes = 8;  // of the CounterClient
+constexpr std::size_t kLanes = 8;  // connections that the gateway keeps to the counter
 
 class CounterCallsTest : public testing::Test {
 protected:
@@ -22,14 +22,14 @@
 
     RequestSpec countedRequest(const std::string& id) const { return safeRequest(id).withTenant(tenant); }
 
-    // Answers the attempt that is on `connection`, and expects that the client gets the response.
+    // Answers the attempt on `connection`, and expects that the client receives the response.
     void serveAttempt(Socket& connection) {
         connection.receiveMessage();
         connection.write(okResponse("in"));
         EXPECT_EQ(statusOf(client.receiveMessage()), 200);
     }
 
-    // Answers the next attempt, on a connection that ends with it.
+    // Accepts the next attempt, and answers it with a response that closes its connection.
     void serveAttemptAndClose() {
         Socket connection = endpoint.accept();
         connection.receiveMessage();
@@ -63,7 +63,8 @@
     Socket connection = counter.accept();
     EXPECT_TRUE(contains(connection.receiveMessage(), "?add=1&"));
     connection.write(okResponse("1"));
-    // The gateway also reads the closed slice; its name decides whether that goes over the same connection.
+    // The gateway also reads the closed slice before. That slice's name determines the connection for the
+    // call.
     waitForReadable({&connection, &counter});
     const bool isSameConnection = connection.waitReadable(0);
     Socket other;
@@ -82,14 +83,14 @@
     client.write(countedRequest("r1").text());
     Socket connection = counter.accept();
     connection.receiveMessage();
-    Socket attempt = endpoint.accept();  // the engine stopped waiting for the counter
+    Socket attempt = endpoint.accept();  // the gateway has stopped waiting for the counter
     serveAttempt(attempt);
-    // A request without a quota that times out: by then the first call has timed out as well.
+    // A request without a quota that times out. When it does, the counter call of r1 has timed out as well.
     client.write(safeRequest("between").withoutQuota().withTimeout(std::chrono::milliseconds(100)).text());
     EXPECT_NE(statusOf(client.receiveMessage()), 200);
     attempt.receiveMessage();
     EXPECT_TRUE(attempt.waitForClose());
-    // After a timeout only a random sample of the requests calls the counter: the others are served.
+    // After a timeout the gateway calls the counter for a random sample of requests, and serves the others.
     for (int i = 2; i < 30; ++i) {
         client.write(countedRequest("r" + std::to_string(i)).text());
         waitForReadable({&connection, &endpoint});
@@ -97,8 +98,8 @@
         serveAttemptAndClose();
     }
     connection.receiveMessage();
-    // The first reply is late. The second shows that the window is full; taken for each other, the request
-    // would be admitted.
+    // The first reply is late. The second one says that the quota is used up. The request would be admitted
+    // if the gateway matched it with the first reply.
     connection.write(okResponse("1") + okResponse("1000000"));
     EXPECT_EQ(statusOf(client.receiveMessage()), 429);
     EXPECT_FALSE(endpoint.waitReadable(0));
@@ -116,7 +117,7 @@
     client.write(countedRequest("r2").text());
     Socket connection = counter.accept();
     EXPECT_TRUE(contains(connection.receiveMessage(), "?add="));
-    connection.write("HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n");  // nothing added, nobody waits
+    connection.write("HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n");  // the call fails
     serveAttempt(attempt);
 }
 
@@ -148,8 +149,8 @@
     serveAttempt(attempt);
 }
 
-// The engine takes replies for a name in the order of the calls: nothing goes to the new counter while a call
-// is in flight at the old one, and no call is made at both.
+// The engine expects the replies for a name in the order of the calls. The gateway must not call the new
+// counter while a call to the old one is in flight, and must not make a call at both.
 TEST_F(CounterCallsTest, AfterReloadFinishesCallsAtOldCounterBeforeCallingNewOne) {
     GatewayProcess slow{optionsWithCounter(Seconds(20))};
     Socket first = slow.connectClient(), second = slow.connectClient();
@@ -158,7 +159,7 @@
     EXPECT_TRUE(contains(old.receiveMessage(), "?add=1&"));
     Server newCounter, newDiscovery;
     slow.reload(newDiscovery, &newCounter);
-    newDiscovery.accept().receiveMessage();  // the reload has taken effect
+    newDiscovery.accept().receiveMessage();  // the new configuration is in use
     second.write(countedRequest("r2").text());
     std::vector<Socket> lanes;
     lanes.reserve(kLanes);
@@ -181,7 +182,7 @@
     secondAttempt.write(okResponse("two"));
     EXPECT_EQ(statusOf(first.receiveMessage()), 200);
     EXPECT_EQ(statusOf(second.receiveMessage()), 200);
-    EXPECT_TRUE(old.waitForClose());  // it has received no second call
+    EXPECT_TRUE(old.waitForClose());  // without a second call
 }
 
 }  // namespace
--- a/tests/integration/descriptor_reclaim_test.cpp
+++ b/tests/integration/descriptor_reclaim_test.cpp
@@ -1,4 +1,5 @@
-// Idle clients hold every descriptor, and the gateway still reaches discovery, the counter and endpoints.
+// A gateway whose idle clients hold all descriptors closes some of them to reach discovery, the counter and
+// endpoints.
 #include <gtest/gtest.h>
 
 #include <list>
@@ -12,7 +13,7 @@
 
 struct DescriptorLimits {
     int configured;  // "limits.sockets"
-    rlim_t system;   // what the system lets the process have
+    rlim_t system;   // RLIMIT_NOFILE
     std::string discovery;
 };
 std::ostream& operator<<(std::ostream& out, const DescriptorLimits& limits) {
@@ -27,14 +28,14 @@
         GatewayOptions options = optionsWithEndpoint(endpoint, withCounter(settings, Seconds(20)));
         options.maxSockets = GetParam().configured;
         options.maxDescriptors = GetParam().system;
-        options.timing.maxPartialTime = std::chrono::hours(1);  // silent clients stay, too
+        options.timing.maxPartialTime = std::chrono::hours(1);  // keeps clients that send nothing
         options.counter = counter.address();
         options.discovery = discovery.address();
         startGateway(options);
         connectMoreClientsThanDescriptors();
     }
 
-    // Each is answered once and idle from then on; the last ones stay in the accept queue.
+    // Each client receives one response and is idle from then on. The last ones stay in the accept queue.
     void connectMoreClientsThanDescriptors() {
         constexpr int kQueuedClients = 200;
         for (rlim_t i = 0; i < GetParam().system; ++i) {
@@ -58,11 +59,11 @@
                                          DescriptorLimits{4096, 1024, kPolledDiscovery}),
                          testing::PrintToStringParamName());
 
-// The deadline is that of a request: both are timed in one process, so a slow machine makes both late.
+// The test measures the time with a request's timeout: on a slow machine the gateway is late with both.
 TEST_P(DescriptorReclaimTest, CallsDiscoveryInTime) {
     Socket client = connectClient();
     client.write(safeRequest("clock").withoutQuota().withTimeout(std::chrono::milliseconds(5900)).text());
-    ASSERT_TRUE(endpoint.waitReadable());  // the request is not answered until its time has run out
+    ASSERT_TRUE(endpoint.waitReadable());  // the endpoint does not answer: the request times out
     discovery.listen();
     EXPECT_NE(statusOf(client.receiveMessage()), 200);
     ASSERT_TRUE(discovery.waitReadable(0));
--- a/tests/integration/forwarding_test.cpp
+++ b/tests/integration/forwarding_test.cpp
@@ -40,10 +40,10 @@
 TEST_F(ForwardingTest, RetriesUnsafeRequestAfterRefusedConnection) {
     GatewayOptions options;
     const ListedEndpoint refusing =
-        listedEndpoint("dead", Server());  // closed by the time the gateway starts
+        listedEndpoint("dead", Server());  // its server is closed before the gateway starts
     options.knownEndpoints = {refusing, listedEndpoint("w", endpoint)};
     startGateway(options);
-    // Whichever endpoint is tried first, the reachable one serves every request, once.
+    // Whichever endpoint the gateway tries first, the reachable one receives every request, once.
     Socket connection;
     for (const std::string id : {"r0", "r1", "r2", "r3"}) {
         Socket client = connectClient();
@@ -66,7 +66,7 @@
     EXPECT_EQ(bodyOf(client.receiveMessage()), "yes");
 }
 
-// The attempt may have run.
+// The endpoint may have run the request.
 TEST_F(ForwardingTest, DoesNotRetryUnsafeRequestAfterConnectionBrokeOnceItWasWritten) {
     startGatewayWithTwoEndpoints();
     for (const std::string received : {"", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
@@ -79,20 +79,20 @@
         attempt.connection.close();
         const int status = statusOf(client.receiveMessage());
         EXPECT_NE(status, 200);
-        EXPECT_NE(status, 429);  // which would say that it did not run
+        EXPECT_NE(status, 429);  // 429 and 503 mean that the request did not run
         EXPECT_NE(status, 503);
         EXPECT_TRUE(readableNow({&endpoint, &otherEndpoint}).empty());
     }
 }
 
-// It may have run, so the answer is a failure and no rejection.
+// The endpoint may have run the request, so the response is a failure (502), not a rejection (429).
 TEST_F(ForwardingTest, FailsUnsafeRequestAtDeadlineOfSilentEndpoint) {
     startGateway();
     Socket client = connectClient();
     Socket connection =
         sendToEndpoint(client, unsafeRequest("r").withTimeout(std::chrono::milliseconds(1500)));
     EXPECT_EQ(statusOf(client.receiveMessage()), 502);
-    EXPECT_TRUE(connection.waitForClose());  // it is not used again
+    EXPECT_TRUE(connection.waitForClose());  // the connection is not reused
 }
 
 }  // namespace
--- a/tests/integration/gateway_shutdown_test.cpp
+++ b/tests/integration/gateway_shutdown_test.cpp
@@ -1,4 +1,4 @@
-// SIGTERM: what a gateway still serves, and how it ends.
+// Graceful shutdown after SIGTERM: the requests that a gateway still serves, and how it exits.
 #include <gtest/gtest.h>
 
 #include <optional>
@@ -12,7 +12,7 @@
 
 class GatewayShutdownTest : public GatewayTest {
 protected:
-    // Listens for ever after SIGTERM, and closes idle connections at once.
+    // Starts a gateway that after SIGTERM keeps listening, and closes idle connections at once.
     void startGatewayThatKeepsListening(const SettingsSpec& settings = {}) {
         GatewayOptions options = optionsWithEndpoint(endpoint, settings);
         options.timing.listenAfterShutdown = std::chrono::hours(1);
@@ -35,12 +35,12 @@
     const Socket connection = sendToEndpoint(client, safeRequest("r1"));
     gateway().terminate();
     int status = 200;
-    while (status == 200) {  // until the signal has been handled
+    while (status == 200) {  // until the gateway has handled the signal
         Socket probe = connectClient();
         status = requestReadiness(probe);
     }
     EXPECT_EQ(status, 503);
-    Socket late = connectClient();  // it still listens
+    Socket late = connectClient();  // the gateway is still listening
     const Socket lateConnection = sendToEndpoint(late, safeRequest("r2"));
     EXPECT_TRUE(idle.waitForClose());
     lateConnection.write(okResponse("two"));
@@ -52,7 +52,8 @@
     EXPECT_EQ(gateway().waitForExit(), 0);
 }
 
-// A client whose request crosses the end of its idle connection sends it once more, and must be accepted.
+// A client may send a request just when the gateway closes its idle connection. It then repeats the request
+// on a new connection, which the gateway must accept.
 TEST_F(GatewayShutdownTest, ClosesIdleConnectionsWhileItStillListens) {
     startGatewayThatKeepsListening();
     Socket idle = connectClient();
@@ -64,8 +65,8 @@
     expectFinalResponse(again);
 }
 
-// A request and SIGTERM are found together. What comes after the gateway has ended its sending side is not
-// forwarded, whether that end followed a response or idleness.
+// The gateway finds a request and SIGTERM at once. It does not forward a request that arrives after it has
+// closed its sending side, be it after a final response or of an idle connection.
 TEST_F(GatewayShutdownTest, AnswersRequestThatArrivesWithSignalAndDiscardsLaterOnes) {
     const auto longRequest = [](const char* id) { return unsafeRequest(id).withTimeout(kLongTimeout); };
     startGatewayThatKeepsListening(withLongDeadlines());
@@ -86,7 +87,7 @@
     for (const Socket* late : {&used, &idle}) {
         try {
             late->write(longRequest("late").text());
-        } catch (const std::runtime_error&) {  // the gateway has closed it, not only its sending side
+        } catch (const std::runtime_error&) {  // the gateway has closed both directions
         }
     }
     Socket other = connectClient();
@@ -97,7 +98,7 @@
     EXPECT_FALSE(endpoint.waitReadable(0));
 }
 
-// The addresses change as they do before SIGTERM, and the requests in flight are answered.
+// A reload during shutdown changes the addresses as usual, and requests in flight are still answered.
 TEST_F(GatewayShutdownTest, IgnoresInvalidReloadAndAppliesValidOneWhileDraining) {
     const Server newDiscovery;
     startGateway();
@@ -118,7 +119,8 @@
     EXPECT_EQ(gateway().waitForExit(), 0);
 }
 
-// The reconciliation is sent some time after the response that causes it, when no client is left.
+// The gateway sends a reconciliation some time after the response that causes it. By then no client is
+// connected.
 TEST_F(GatewayShutdownTest, SendsReconciliationOfLastResponseBeforeExit) {
     const Server counter;
     SettingsSpec settings = withCounter(withLongDeadlines(), Seconds(20));
@@ -137,11 +139,11 @@
     call.write(okResponse("2"));
     const Socket connection = acceptAttempt(endpoint);
     gateway().terminate();
-    EXPECT_THROW(for (;;) connectClient(), std::runtime_error);  // until it does not listen any more
+    EXPECT_THROW(for (;;) connectClient(), std::runtime_error);  // until the gateway stops listening
     connection.write(okResponse("served", "X-Settled: 3\r\n"));
     EXPECT_EQ(statusOf(client.receiveMessage()), 200);
     client.close();
-    // The current slice is another one by now. Its name, and so the connection for it, may be others too.
+    // A new slice has begun by now. Its name differs, and calls for it may use another connection.
     std::optional<std::string> reconciliation;
     while (!reconciliation) {
         if (waitForReadable({&call, &counter}).back() == &counter) call = counter.accept();
--- a/tests/integration/invalid_upstream_response_test.cpp
+++ b/tests/integration/invalid_upstream_response_test.cpp
@@ -12,7 +12,7 @@
 
 class InvalidUpstreamResponseTest : public GatewayTest {};
 
-// Beast 1.74 forgets its limit where the body begins in the same read as the head.
+// Beast 1.74 does not apply its body limit if the body begins in the same read as the head.
 TEST_F(InvalidUpstreamResponseTest, RejectsOversizedContentLengthAtOnceAndRetries) {
     startGateway();
     Socket client = connectClient();
@@ -50,7 +50,7 @@
     EXPECT_EQ(bodyOf(client.receiveMessage()), "two");
 }
 
-// Bytes keep coming, each in time after the one before: the response has a time limit as a whole.
+// The endpoint keeps sending, without a long pause: the time limit is on the whole response.
 TEST_F(InvalidUpstreamResponseTest, TimesOutOnUnterminatedBody) {
     startGateway(withLongDeadlines());
     Socket client = connectClient();
@@ -58,13 +58,13 @@
     connection.write(kChunkedHead);
     try {
         while (!connection.waitReadable(10)) connection.write("1\r\nx\r\n");
-    } catch (const std::runtime_error&) {  // the gateway has closed it
+    } catch (const std::runtime_error&) {  // the gateway has closed the connection
     }
     acceptAttempt(endpoint).write(okResponse("whole"));
     EXPECT_EQ(bodyOf(client.receiveMessage()), "whole");
 }
 
-// ---- Responses that are reset ---------------------------------------------------------------------------
+// ---- Responses truncated by a reset ---------------------------------------------------------------------
 
 struct TruncatedResponse {
     std::string name;
@@ -78,7 +78,7 @@
 protected:
     void SetUp() override { startGateway(withLongDeadlines()); }
 
-    // Both come to the gateway together.
+    // Sends the response and a reset, so that the gateway finds both at once.
     void sendTruncatedResponse(Socket& connection) {
         gateway().whileStopped([&] {
             connection.write(GetParam().text);
--- a/tests/integration/pipelining_test.cpp
+++ b/tests/integration/pipelining_test.cpp
@@ -1,4 +1,4 @@
-// Clients that send requests, or other bytes, ahead of the response that they wait for.
+// Clients that send further requests, or other bytes, before they have received a response.
 #include <gtest/gtest.h>
 
 #include <stdexcept>
@@ -21,7 +21,7 @@
     }
 };
 
-// The time of a request counts from its arrival, not from the response to the request before it.
+// The timeout of a pipelined request starts when the request arrives, not when the previous one is answered.
 TEST_F(PipeliningTest, CountsTimeoutFromArrivalOfRequest) {
     using std::chrono::milliseconds;
     constexpr milliseconds kHold{600};
@@ -32,18 +32,18 @@
     EXPECT_TRUE(isRequest(connection.receiveMessage(), "r1"));
     pause(kHold);
     client.write(request("r3"));
-    waitUntilHandled(gateway());  // r3 has been read by now
+    waitUntilHandled(gateway());  // the gateway has read r3
     pause(kHold);
-    for (const auto& [id, held] : {std::pair("r2", 2 * kHold), std::pair("r3", kHold)}) {
+    for (const auto& [id, delay] : {std::pair("r2", 2 * kHold), std::pair("r3", kHold)}) {
         connection.write(okResponse("x"));
         EXPECT_EQ(statusOf(client.receiveMessage()), 200);
         const std::string forwarded = connection.receiveMessage();
         EXPECT_TRUE(isRequest(forwarded, id)) << forwarded;
-        EXPECT_LE(announcedTimeout(forwarded), kLongTimeout - held) << forwarded;
+        EXPECT_LE(announcedTimeout(forwarded), kLongTimeout - delay) << forwarded;
     }
 }
 
-// The next read has begun by the time the pipelined requests are taken out of the buffer.
+// The gateway has already started the next read when it takes pipelined requests out of its buffer.
 TEST_F(PipeliningTest, ReadsRequestsThatFollowPipelinedOnes) {
     Socket client = connectClient();
     client.write(longRequest("r1").text() + longRequest("r2").text());
@@ -74,7 +74,7 @@
     EXPECT_EQ(requestReadiness(client), 200);
 }
 
-// The same bytes behind which a client has disconnected are not forwarded: see ClientDisconnectTest.
+// ClientDisconnectTest sends the same bytes and disconnects; the gateway then does not forward them.
 TEST_F(PipeliningTest, ServesLargeRequestBehindAnother) {
     Socket connection = openIdleConnection();
     Socket client = connectClient();
@@ -89,11 +89,11 @@
     }
 }
 
-// Of more bytes than the gateway keeps for one connection, the requests that it has are answered; then the
-// connection ends.
+// A client sends more bytes than the gateway keeps for one connection. The gateway answers the requests that
+// it has kept, then closes the connection.
 TEST_F(PipeliningTest, AnswersRequestsWithinLimitOfPipelinedBytes) {
     Socket client = connectClient();
-    // Far more than the kernel holds: once it is written the gateway has read past its limit.
+    // Far more than the kernel's buffers hold: after the last write the gateway has read past its limit.
     for (int i = 0; i < 1000; ++i) client.write(largeRequest("r" + std::to_string(i)).text());
     Socket connection = endpoint.accept();
     EXPECT_TRUE(isRequest(connection.receiveMessage(), "r0"));
@@ -109,7 +109,7 @@
         }
         EXPECT_TRUE(isRequest(connection.receiveMessage(), "r" + std::to_string(answered + 1)));
     }
-    EXPECT_GE(answered, 3);  // within 96 KiB
+    EXPECT_GE(answered, 3);  // the gateway keeps 96 KiB
     EXPECT_TRUE(client.waitForClose());
 }
 
@@ -137,7 +137,7 @@
     EXPECT_EQ(gateway().waitForExit(), 0);
 }
 
-// No reset overtakes the response, however much comes that is not read any more.
+// Input that the gateway no longer reads must not cause a reset that destroys the response.
 TEST_F(PipeliningTest, DeliversFinalResponseWhileClientKeepsSending) {
     Socket client = connectClient();
     client.write(replaced(longRequest("r").text(), "\r\n", "\r\nConnection: close\r\n"));
@@ -150,7 +150,7 @@
     EXPECT_TRUE(bodyOf(client.receiveMessage()) == body);  // too long to print
 }
 
-// Invalid bytes, and then a close or a reset.
+// Clients send invalid bytes, then close or reset the connection.
 TEST_F(PipeliningTest, ServesOthersAfterFloodsOfInvalidBytes) {
     const std::string lines(2'000'000, '\n');
     for (const std::string& flood : {"nonsense\r\n\r\n" + lines, std::string(100'000, 'x')}) {
@@ -158,7 +158,7 @@
             Socket flooding = connectClient();
             try {
                 flooding.write(flood);
-            } catch (const std::runtime_error&) {  // the gateway has ended the connection
+            } catch (const std::runtime_error&) {  // the gateway has closed the connection
             }
             reset ? flooding.reset() : flooding.close();
         }
--- a/tests/integration/readiness_test.cpp
+++ b/tests/integration/readiness_test.cpp
@@ -1,4 +1,4 @@
-// When a new process answers GET /-/ready with 200.
+// The conditions under which a new gateway process answers GET /-/ready with 200.
 #include <gtest/gtest.h>
 
 #include <list>
@@ -15,7 +15,7 @@
 
 constexpr std::chrono::milliseconds kInitialUpdateWait{500};
 
-// ---- The first list of a pushing agent ------------------------------------------------------------------
+// ---- The first list of a discovery agent in push mode ---------------------------------------------------
 
 class InitialUpdateTest : public GatewayTest {
 protected:
@@ -36,13 +36,13 @@
     expectReady(gateway());
 }
 
-// An agent is silent while discovery is down.
+// An agent sends nothing while discovery is down.
 TEST_F(InitialUpdateTest, IsReadySoonWithoutListOfAgent) {
     startGatewayThatWaits(std::chrono::milliseconds(1));
     expectReady(gateway());
 }
 
-// ---- Discovery that fails -------------------------------------------------------------------------------
+// ---- Failed calls to discovery --------------------------------------------------------------------------
 
 class StartupReadinessTest : public testing::TestWithParam<std::string> {
 protected:
@@ -68,7 +68,7 @@
     }
 }
 
-// Part of a fleet is restarted at once, while discovery does not answer or rejects all calls.
+// Many gateways of a fleet restart at once, while discovery does not answer or rejects all calls.
 TEST_P(StartupReadinessTest, AllOfManyThatStartTogetherAreReady) {
     constexpr int kGateways = 12;
     for (const bool rejects : {false, true}) {
@@ -119,7 +119,8 @@
     expectReady(gateway);
 }
 
-// By then the list that discovery has must be known.
+// A gateway must have discovery's current list by the update deadline, so it must not wait longer for
+// endpoints.
 TEST(EmptyListWaitTest, EndsBeforeUpdateDeadline) {
     GatewayOptions options;
     options.discovery = "127.0.0.1:1";
--- a/tests/integration/reload_test.cpp
+++ b/tests/integration/reload_test.cpp
@@ -1,4 +1,4 @@
-// SIGHUP: a gateway goes over to the addresses that its configuration file names now.
+// Reload after SIGHUP: a gateway switches to the addresses in its changed configuration file.
 #include "support/gateway_test.h"
 
 namespace gateway::net::test {
@@ -6,8 +6,9 @@
 
 class ReloadTest : public GatewayTest {};
 
-// The file takes precedence over EDGE_DISCOVERY once it was replaced. Versions of another discovery may be
-// others, so its whole list is requested; its changes follow in order.
+// After a reload the address in the file takes precedence over EDGE_DISCOVERY. List indices of another
+// discovery service are unrelated to the known one, so the gateway requests a snapshot first, and then the
+// changes to it.
 TEST_F(ReloadTest, SwitchesToNewDiscoveryAndRequestsItsSnapshot) {
     const Server newEndpoint;
     const Server newDiscovery;
@@ -15,7 +16,7 @@
     startGateway(withLongDrainGracePeriod());
     Socket oldWatch = gateway().discovery().accept();
     oldWatch.receiveMessage();
-    gateway().reload(R"({"discovery": "127.0.0.1:1", )");  // half written: the addresses in use stay
+    gateway().reload(R"({"discovery": "127.0.0.1:1", )");  // incomplete: the addresses do not change
     gateway().reload(newDiscovery);
     Socket watch = newDiscovery.accept();
     EXPECT_TRUE(contains(watch.receiveMessage(), "GET /api/targets HTTP/1.1\r\n"));
--- a/tests/integration/request_validation_test.cpp
+++ b/tests/integration/request_validation_test.cpp
@@ -1,4 +1,4 @@
-// Requests that the gateway answers itself with a 4xx status, without forwarding anything.
+// Invalid requests, which the gateway answers with a 4xx status and does not forward.
 #include <string>
 #include <vector>
 
@@ -17,8 +17,8 @@
 protected:
     void SetUp() override { startGateway(); }
 
-    // All on the same gateway, each on a connection of its own, which ends behind a request after which the
-    // position of the next one is not certain.
+    // Sends each request on a connection of its own. The gateway closes the connection, except after 404 and
+    // 405, where it has read the whole request and knows where the next one begins.
     void expectAnsweredWithoutForwarding(const std::vector<InvalidRequest>& requests) const {
         for (const InvalidRequest& request : requests) {
             SCOPED_TRACE(request.name);
@@ -68,7 +68,7 @@
     });
 }
 
-// Where the end of the body depends on the reader, the body could hide another request.
+// If a gateway and an endpoint disagree on where a body ends, the body can hide another request.
 TEST_F(RequestValidationTest, AnswersAmbiguousBodyLength) {
     const auto framedBy = [](const std::string& headers) {
         return replaced(keyedRequest("r").withBody("").text(), "Content-Length: 0\r\n", headers) +
@@ -102,7 +102,8 @@
     EXPECT_EQ(statusOf(first.receiveMessage()), 200);
 }
 
-// The time of a first request counts from its connection: a client gains none by being silent at first.
+// The time limit for the first request starts when the client connects, so a client that waits does not gain
+// time.
 TEST(PartialRequestTest, TimesOutFirstRequestByAgeOfItsConnection) {
     const Server endpoint;
     GatewayOptions options = optionsWithEndpoint(endpoint);
@@ -116,7 +117,7 @@
     pause(std::chrono::seconds(1));
     late.write("GET /load HTTP/1.1\r\nHost:");
     EXPECT_EQ(statusOf(early.receiveMessage()), 408);
-    EXPECT_EQ(requestReadiness(probe), 200);  // the sweep that answered `early` is over
+    EXPECT_EQ(requestReadiness(probe), 200);  // the check for timeouts that answered `early` is complete
     EXPECT_TRUE(late.waitReadable(0));
     EXPECT_EQ(statusOf(late.receiveMessage()), 408);
 }
--- a/tests/integration/upstream_connect_test.cpp
+++ b/tests/integration/upstream_connect_test.cpp
@@ -1,4 +1,4 @@
-// Connections to endpoints that complete late, or never.
+// Connections to endpoints that complete late or not at all.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -11,7 +11,7 @@
 
 // ---- Retries whose connection completes late ------------------------------------------------------------
 
-// One attempt that fails at `endpoint`, and its retry at a server whose connection completes late.
+// A gateway, an endpoint at which a first attempt fails, and a server to which the retry connects late.
 class LateRetry {
 public:
     explicit LateRetry(const SettingsSpec& settings)
@@ -19,14 +19,14 @@
         watch_.receiveMessage();
     }
 
-    // Sends `request` and ends its first attempt by `fail`, once the saturated server is the only endpoint
-    // left. False where the request was answered without a retry.
+    // Sends `request`, makes the saturated server the only endpoint, and calls `fail` with the connection of
+    // the first attempt to make it fail. Returns false if the gateway answers the request without a retry.
     bool beginRetry(const RequestSpec& request, const std::function<void(Socket&)>& fail) {
         client.write(request.text());
         Socket connection = acceptAttempt(endpoint_);
         watch_.write(kChunkedHead + snapshotChunk(42, {listedEndpoint("full", saturated_)}));
         watch_.close();
-        watch_ = gateway_.discovery().accept();  // the list is in force by then
+        watch_ = gateway_.discovery().accept();  // the gateway has applied the list
         fail(connection);
         waitUntilHandled(gateway_);
         return !client.waitReadable(0);
@@ -69,14 +69,15 @@
     EXPECT_EQ(statusOf(retry.client.receiveMessage()), 200);
 }
 
-// By the value of the setting "group".
+// The parameter is the value of the setting "group", the deduplication scope.
 class LateRetryWithKeyTest : public testing::TestWithParam<std::string> {};
 
 INSTANTIATE_TEST_SUITE_P(DeduplicationScopes, LateRetryWithKeyTest, testing::Values("all", "zone", "cell"),
                          [](const auto& parameter) { return parameter.param; });
 
 TEST_P(LateRetryWithKeyTest, IsNotSentAfterIdempotencyWindow) {
-    // On a machine so slow that the window is over before the retry begins, a longer one is tried.
+    // If the window ends before the retry begins, as it can on a slow machine, the test starts again with a
+    // longer one.
     for (double windowSeconds = 1;; windowSeconds *= 3) {
         ASSERT_LT(windowSeconds, 30);
         SettingsSpec settings = withLongDeadlines();
@@ -89,7 +90,7 @@
         pause(std::chrono::milliseconds(static_cast<int>(windowSeconds * 1000)));
         Socket connection = retry.completeConnection();
         EXPECT_TRUE(connection.waitForClose());
-        // The first attempt may have run, and a repeat of the client would run again: no rejection.
+        // The first attempt may have run. A rejection would tell the client that it did not.
         const int status = statusOf(retry.client.receiveMessage());
         EXPECT_NE(status, 200);
         EXPECT_NE(status, 429);
@@ -105,8 +106,8 @@
     SaturatedServer saturated;
 };
 
-// Whichever endpoint is tried first, the connection that does not complete costs its time limit and no
-// request.
+// Whichever endpoint the gateway tries first, every request is served: an attempt whose connection does not
+// complete in time is retried.
 TEST_F(UpstreamConnectTest, RetriesOnAnotherEndpointAfterConnectTimeout) {
     GatewayOptions options;
     options.knownEndpoints = {listedEndpoint("full", saturated), listedEndpoint("w", endpoint)};
@@ -133,9 +134,9 @@
     client.write(unsafeRequest("r").text());
     waitUntilHandled(gateway());
     watch.write(deltaChunk(60, {listedEndpoint("w", saturated, "terminating")}));
-    Socket connection = saturated.acceptPending();  // past the grace period of a draining endpoint
+    Socket connection = saturated.acceptPending();  // after the drain grace period has ended
     EXPECT_TRUE(connection.waitForClose());
-    EXPECT_EQ(statusOf(client.receiveMessage()), 429);  // it did not run
+    EXPECT_EQ(statusOf(client.receiveMessage()), 429);  // the request did not run
 }
 
 }  // namespace
--- a/tests/integration/upstream_connection_reuse_test.cpp
+++ b/tests/integration/upstream_connection_reuse_test.cpp
@@ -1,4 +1,4 @@
-// When an idle connection to an endpoint carries the next request, and when it is dropped.
+// Reuse of idle connections to endpoints, and the cases in which the gateway closes them instead.
 #include <functional>
 
 #include "support/gateway_test.h"
@@ -8,15 +8,15 @@
 
 class UpstreamConnectionReuseTest : public GatewayTest {
 protected:
-    // Serves `request` on a connection that is new.
+    // Sends `request` and expects that it arrives on a new connection.
     void expectServedOnNewConnection(Socket& client, const RequestSpec& request) const {
         const Socket connection = sendToEndpoint(client, request);
         connection.write(okResponse("two"));
         EXPECT_EQ(bodyOf(client.receiveMessage()), "two");
     }
 
-    // The gateway finds the next request before the end of the connection that would carry it; both have come
-    // by then.
+    // Sends a request and ends the idle connection that would carry it, so that the gateway finds both at
+    // once, the request first. Expects that the request arrives on a new connection.
     void expectNewConnectionAfter(const std::function<void(Socket&)>& endConnection) {
         startGateway();
         Socket client = connectClient();
@@ -27,9 +27,9 @@
             client.write(unsafeRequest("r2").text());
             endConnection(idle);
         });
-        Socket fresh = endpoint.accept();
-        EXPECT_TRUE(isRequest(fresh.receiveMessage(), "r2"));
-        fresh.write(okResponse("two"));
+        Socket connection = endpoint.accept();
+        EXPECT_TRUE(isRequest(connection.receiveMessage(), "r2"));
+        connection.write(okResponse("two"));
         EXPECT_EQ(statusOf(client.receiveMessage()), 200);
     }
 };
@@ -53,7 +53,7 @@
     expectServedOnNewConnection(client, safeRequest("r2"));
 }
 
-// A response that precedes its request answers nothing.
+// A response that arrives before its request must not answer the next request.
 TEST_F(UpstreamConnectionReuseTest, DropsConnectionWhenSecondResponseFollowsAtOnce) {
     startGateway();
     Socket client = connectClient();
@@ -64,7 +64,7 @@
     expectServedOnNewConnection(client, safeRequest("r2"));
 }
 
-// On the same connection a late second response would be served for the next request.
+// A late second response would answer the next request if that used the same connection.
 TEST_F(UpstreamConnectionReuseTest, DoesNotServeLateSecondResponseWithinReuseDelay) {
     GatewayOptions options = optionsWithEndpoint(endpoint);
     options.timing.reuseDelay = std::chrono::hours(1);
@@ -73,14 +73,14 @@
     Socket connection = sendToEndpoint(client, safeRequest("r1"));
     connection.write(okResponse("one"));
     EXPECT_EQ(bodyOf(client.receiveMessage()), "one");
-    const Socket fresh = sendToEndpoint(client, safeRequest("r2"));
+    const Socket newConnection = sendToEndpoint(client, safeRequest("r2"));
     connection.write(okResponse("one"));
     EXPECT_TRUE(connection.waitForClose());
-    fresh.write(okResponse("two"));
+    newConnection.write(okResponse("two"));
     EXPECT_EQ(bodyOf(client.receiveMessage()), "two");
 }
 
-// The machine was cut off: it sends nothing, and its connections stay open.
+// The endpoint's machine is unreachable: it sends nothing, and its connections stay open.
 TEST_F(UpstreamConnectionReuseTest, DropsIdleConnectionsOfEndpointThatDoesNotRespond) {
     startGateway();
     Socket clients[] = {connectClient(), connectClient()};
@@ -93,7 +93,7 @@
     clients[0].write(safeRequest("r3").withTimeout(std::chrono::seconds(1)).text());
     EXPECT_NE(statusOf(clients[0].receiveMessage()), 200);
     for (Socket& connection : connections) {
-        connection.receiveMessageOrEnd();  // r3, on the one that carried it
+        connection.receiveMessageOrEnd();  // r3, on one of the connections
         EXPECT_TRUE(connection.waitForClose());
     }
 }
