--- a/src/simulator/wire_reader.cpp
+++ b/src/simulator/wire_reader.cpp
@@ -32,7 +32,7 @@
                                            {"skipped", Outcome::notSent}});
 }
 
-std::optional<LoadReport> readReport(const Fields& fields) {
+std::optional<LoadReport> readLoadReport(const Fields& fields) {
     if (!fields.has("telemetry")) return std::nullopt;
     const Fields telemetry = fields.object("telemetry");
     LoadReport report;
@@ -89,7 +89,7 @@
     if (const double billed = fields.number("billed", 0); billed > 0) ended.trueCost = billed;
     // The field "metered" holds the percentage plus 1; 0 means that none was reported.
     if (const double metered = fields.number("metered", 0); metered > 0) ended.meteredPercent = metered - 1;
-    ended.report = readReport(fields);
+    ended.report = readLoadReport(fields);
     return ended;
 }
 
@@ -111,13 +111,13 @@
     return {TimerId{std::stoull(digits)}};
 }
 
-void checkHealthCheck(const Fields& fields) {
+void validateHealthCheckResult(const Fields& fields) {
     readEndpointId(fields);
     readOutcome(fields);
-    readReport(fields);
+    readLoadReport(fields);
 }
 
-void checkPeerMessage(const Fields& fields) {
+void validatePeerMessage(const Fields& fields) {
     fields.integer("author", 0);
     checkHex(fields, "octets");
 }
@@ -134,9 +134,9 @@
     if (name == "bell") return readTimer(fields);
     // Gateways ignore the results of health checks and the messages of peers, but these must be well-formed.
     if (name == "pingResult")
-        checkHealthCheck(fields);
+        validateHealthCheckResult(fields);
     else if (name == "memo")
-        checkPeerMessage(fields);
+        validatePeerMessage(fields);
     else
         fields.complain("", "unknown message");
     return std::nullopt;
--- a/tests/integration/client_disconnect_during_attempt_test.cpp
+++ b/tests/integration/client_disconnect_during_attempt_test.cpp
@@ -172,7 +172,7 @@
 // ---- Disconnects when the connection is refused ---------------------------------------------------------
 
 // Returns true if a connection to `port` on loopback has not been established yet.
-bool isBeingConnectedTo(unsigned short port) {
+bool isConnectingTo(unsigned short port) {
     constexpr const char* kSynSent = "02";
     std::ostringstream peer;
     peer << "0100007F:" << std::uppercase << std::hex << std::setw(4) << std::setfill('0') << port;
@@ -221,12 +221,12 @@
     Socket client = connectClient();
     client.write(uncountedRequest("gone").text());
     waitUntilHandled(gateway());
-    ASSERT_TRUE(isBeingConnectedTo(refusing.port()));
+    ASSERT_TRUE(isConnectingTo(refusing.port()));
     announce(43, listedEndpoint("v", endpoint));  // an endpoint for a retry
     gateway().whileStopped([&] {
         refusing.close();
         // The connection is refused when the kernel repeats the SYN, after about 1 s.
-        while (isBeingConnectedTo(refusing.port())) pause(std::chrono::milliseconds(1));
+        while (isConnectingTo(refusing.port())) pause(std::chrono::milliseconds(1));
         disconnect(client, GetParam());
     });
     expectOnlyNextRequestForwarded({&endpoint});
--- a/tests/integration/pipelining_test.cpp
+++ b/tests/integration/pipelining_test.cpp
@@ -24,17 +24,17 @@
 // The timeout of a pipelined request starts when the request arrives, not when the previous one is answered.
 TEST_F(PipeliningTest, CountsTimeoutFromArrivalOfRequest) {
     using std::chrono::milliseconds;
-    constexpr milliseconds kHold{600};
+    constexpr milliseconds kDelay{600};
     Socket client = connectClient();
     const auto request = [](const char* id) { return safeRequest(id).withTimeout(kLongTimeout).text(); };
     client.write(request("r1") + request("r2"));
     Socket connection = endpoint.accept();
     EXPECT_TRUE(isRequest(connection.receiveMessage(), "r1"));
-    pause(kHold);
+    pause(kDelay);
     client.write(request("r3"));
     waitUntilHandled(gateway());  // the gateway has read r3
-    pause(kHold);
-    for (const auto& [id, delay] : {std::pair("r2", 2 * kHold), std::pair("r3", kHold)}) {
+    pause(kDelay);
+    for (const auto& [id, delay] : {std::pair("r2", 2 * kDelay), std::pair("r3", kDelay)}) {
         connection.write(okResponse("x"));
         EXPECT_EQ(statusOf(client.receiveMessage()), 200);
         const std::string forwarded = connection.receiveMessage();
--- a/tests/support/failing_discovery.cpp
+++ b/tests/support/failing_discovery.cpp
@@ -8,11 +8,11 @@
 namespace gateway::net::test {
 namespace {
 
-constexpr int kFullAfterOne = 0;  // the kernel queues one connection more than this
+constexpr int kBacklogOfOneConnection = 0;  // the kernel queues one connection more than this
 
 int backlogFor(CallFailure failure) {
     if (failure == CallFailure::refused) return Server::kRefusing;
-    if (failure == CallFailure::notConnected) return kFullAfterOne;
+    if (failure == CallFailure::notConnected) return kBacklogOfOneConnection;
     return Server::kDefaultBacklog;
 }
 
@@ -50,9 +50,8 @@
 
 void FailingDiscovery::failCall(const std::string& path) {
     if (failure_ == CallFailure::refused) {
-        constexpr std::chrono::seconds kUntilFirstCallWasMade{
-            2};  // enough for the gateway to make its first call
-        pause(kUntilFirstCallWasMade);
+        constexpr std::chrono::seconds kFirstCallWait{2};  // enough for the gateway to make its first call
+        pause(kFirstCallWait);
         server_.listen();
         return;
     }
@@ -64,8 +63,8 @@
     EXPECT_TRUE(contains(failedCall_.receiveMessage(), path)) << failure_;
     if (failure_ == CallFailure::unavailable) failedCall_.write(kUnavailableResponse);
     if (failure_ == CallFailure::truncated) {
-        constexpr std::size_t kPartBytes = 20;
-        failedCall_.write(kChunkedHead + chunk(snapshotDocument(77, {}).substr(0, kPartBytes)));
+        constexpr std::size_t kTruncatedSize = 20;
+        failedCall_.write(kChunkedHead + chunk(snapshotDocument(77, {}).substr(0, kTruncatedSize)));
     }
     if (failure_ != CallFailure::unanswered) failedCall_.close();
 }
--- a/tests/support/gateway_process.cpp
+++ b/tests/support/gateway_process.cpp
@@ -18,7 +18,7 @@
 namespace gateway::net::test {
 namespace {
 
-std::string newConfigFile() {
+std::string makeConfigPath() {
     static int count = 0;
     return testing::TempDir() + "gateway-" + std::to_string(::getpid()) + "-" + std::to_string(count++);
 }
@@ -29,7 +29,7 @@
     ::setrlimit(RLIMIT_NOFILE, &limit);
 }
 
-Timing timingOf(const TimingSpec& spec) {
+Timing toTiming(const TimingSpec& spec) {
     Timing timing;
     timing.listenAfterShutdown = spec.listenAfterShutdown;
     timing.idleGracePeriod = spec.idleGracePeriod;
@@ -43,7 +43,7 @@
 }  // namespace
 
 GatewayProcess::GatewayProcess(GatewayOptions options)
-    : options_(std::move(options)), configFile_(newConfigFile()) {
+    : options_(std::move(options)), configFile_(makeConfigPath()) {
     if (options_.discovery.empty()) options_.discovery = discovery_.address();
     start();
 }
@@ -62,16 +62,16 @@
                                  " before it was listening");
 }
 
-int GatewayProcess::serveAndReportPort(int reportTo) const {
+int GatewayProcess::serveAndReportPort(int portPipe) const {
     ::setenv("EDGE_CONFIG", configFile_.c_str(), 1);
     ::setenv("EDGE_DISCOVERY", options_.discovery.c_str(), 1);
     limitDescriptors(options_.maxDescriptors);
     try {
         Config config = readConfig(configDocument(options_));
-        config.timing = timingOf(options_.timing);
-        serve(config, [reportTo](const Config::Address& address) {
+        config.timing = toTiming(options_.timing);
+        serve(config, [portPipe](const Config::Address& address) {
             const unsigned short port = address.port();
-            if (::write(reportTo, &port, sizeof port) != sizeof port) std::abort();
+            if (::write(portPipe, &port, sizeof port) != sizeof port) std::abort();
         });
     } catch (const std::exception& e) {
         std::fprintf(stderr, "%s\n", e.what());
--- a/tests/support/gateway_process.h
+++ b/tests/support/gateway_process.h
@@ -44,9 +44,9 @@
 
 private:
     void start();
-    // Runs in the forked process. Writes the port to the pipe `reportTo`, serves until SIGTERM, and returns
+    // Runs in the forked process. Writes the port to the pipe `portPipe`, serves until SIGTERM, and returns
     // the exit status.
-    int serveAndReportPort(int reportTo) const;
+    int serveAndReportPort(int portPipe) const;
 
     GatewayOptions options_;
     Server discovery_;
