--- a/tests/integration/client_disconnect_during_attempt_test.cpp
+++ b/tests/integration/client_disconnect_during_attempt_test.cpp
@@ -55,7 +55,7 @@
 }
 
 // A request that was not written to an endpoint is refunded, even if attempts may not be cancelled.
-TEST_P(DisconnectWhileConnectingTest, RefundsAndDoesNotSendWhenClientClosesBeforeConnectionCompletes) {
+TEST_P(DisconnectWhileConnectingTest, RefundsAndDoesNotSendWhenClientClosesDuringConnect) {
     GatewayOptions options = optionsWithEndpoint(saturated, withCounter(settings(), Seconds(20)));
     options.counter = counter.address();
     startGateway(options);
@@ -158,7 +158,7 @@
     expectNoRetry(attempt.connection);
 }
 
-TEST_P(DisconnectBeforeRetryTest, DoesNotRetryAttemptThatMayNotBeCancelledAndFailsLater) {
+TEST_P(DisconnectBeforeRetryTest, DoesNotRetryUncancellableAttemptThatFailsAfterDisconnect) {
     startGatewayWithTwoEndpoints(withoutCancellation(withLongDeadlines()));
     Socket client = connectClient();
     auto attempt = sendSafeRequest(client);
--- a/tests/integration/client_disconnect_test.cpp
+++ b/tests/integration/client_disconnect_test.cpp
@@ -104,7 +104,7 @@
 }
 
 // Pipelined bytes that the gateway has not read yet precede the end of the connection.
-TEST_P(ClientDisconnectTest, DoesNotForwardRequestThatArrivesWithPipelinedBytesAndDisconnect) {
+TEST_P(ClientDisconnectTest, DoesNotForwardRequestThatArrivesWithOthersAndDisconnect) {
     startGatewayWithoutCounter();
     Socket idle = openIdleConnection();
     Socket client = connectClient();
@@ -118,7 +118,7 @@
 
 // ---- Pipelined requests after one that was forwarded ----------------------------------------------------
 
-TEST_P(ClientDisconnectTest, DoesNotForwardPipelinedRequestWhenClientClosesDuringAttempt) {
+TEST_P(ClientDisconnectTest, DoesNotForwardNextRequestWhenClientClosesDuringAttempt) {
     startGatewayWithoutCounter();
     Socket client = connectClient();
     client.write(uncountedRequest("r1").text() + uncountedRequest("r2").text());
@@ -129,7 +129,7 @@
     expectOnlyNextRequestForwarded({&endpoint});
 }
 
-TEST_P(ClientDisconnectTest, DoesNotForwardPipelinedRequestWhenClientClosesWithEndpointResponse) {
+TEST_P(ClientDisconnectTest, DoesNotForwardNextRequestWhenClientClosesAsResponseArrives) {
     startGatewayWithoutCounter();
     Socket client = connectClient();
     client.write(uncountedRequest("r1").text() + uncountedRequest("r2").text());
--- a/tests/integration/forwarding_test.cpp
+++ b/tests/integration/forwarding_test.cpp
@@ -67,7 +67,7 @@
 }
 
 // The endpoint may have run the request.
-TEST_F(ForwardingTest, DoesNotRetryUnsafeRequestAfterConnectionBrokeOnceItWasWritten) {
+TEST_F(ForwardingTest, DoesNotRetrySentUnsafeRequestAfterConnectionFailure) {
     startGatewayWithTwoEndpoints();
     for (const std::string received : {"", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
                                        "HTTP/1.1 200 OK\r\n\r\nno length", "garbage\r\n\r\n"}) {
--- a/tests/integration/readiness_test.cpp
+++ b/tests/integration/readiness_test.cpp
@@ -37,7 +37,7 @@
 }
 
 // An agent sends nothing while discovery is down.
-TEST_F(InitialUpdateTest, IsReadySoonWithoutListOfAgent) {
+TEST_F(InitialUpdateTest, IsReadyAfterInitialUpdateWaitWithoutList) {
     startGatewayThatWaits(std::chrono::milliseconds(1));
     expectReady(gateway());
 }
@@ -54,7 +54,7 @@
                              return parameter.param == kPushedDiscovery ? "Push" : "Poll";
                          });
 
-TEST_P(StartupReadinessTest, IsReadyHoweverCallsToDiscoveryFail) {
+TEST_P(StartupReadinessTest, IsReadyAfterAnyFailureOfCallToDiscovery) {
     for (const CallFailure failure : kCallFailures) {
         SCOPED_TRACE(failure);
         FailingDiscovery discovery(failure);
@@ -69,7 +69,7 @@
 }
 
 // Many gateways of a fleet restart at once, while discovery does not answer or rejects all calls.
-TEST_P(StartupReadinessTest, AllOfManyThatStartTogetherAreReady) {
+TEST_P(StartupReadinessTest, AllGatewaysThatStartTogetherBecomeReady) {
     constexpr int kGateways = 12;
     for (const bool rejects : {false, true}) {
         SCOPED_TRACE(rejects ? "discovery rejects" : "discovery does not answer");
