--- a/tests/support/engine_fixture.cpp
+++ b/tests/support/engine_fixture.cpp
@@ -53,7 +53,7 @@
 
 EndpointEntry EngineFixture::entry(const std::string& id, CellId cell) {
     EndpointEntry entry;
-    entry.endpoint = EndpointId(id);
+    entry.id = EndpointId(id);
     entry.cell = cell;
     return entry;
 }
@@ -72,7 +72,7 @@
 void EngineFixture::collect(const Action& action) {
     const Overloaded collector{
         [&](const AddToCounter& call) { add(call); },
-        [&](const SetTimer& timer) { timers.emplace(now + timer.after, timer.timer); },
+        [&](const SetTimer& timer) { timers.emplace(now + timer.delay, timer.timer); },
         [&](const SendAttempt& send) { sends.push_back(send); },
         [&](const RejectRequest& rejection) { rejections.push_back(rejection); },
         [&](const FailRequest& failure) { failures.push_back(failure); },
@@ -114,7 +114,7 @@
     return arrival.request.value();
 }
 
-void EngineFixture::endAttempt(const SendAttempt& send, int attempt, Outcome outcome, bool closed,
+void EngineFixture::endAttempt(const SendAttempt& send, int attempt, Outcome outcome, bool requestClosed,
                                std::optional<double> actualCost) {
     AttemptEnded ended;
     ended.request = send.request;
@@ -122,8 +122,8 @@
     ended.endpoint = send.endpoint;
     ended.outcome = outcome;
     ended.elapsed = kAttemptTime;
-    ended.closed = closed;
-    ended.trueCost = actualCost;
+    ended.requestClosed = requestClosed;
+    ended.actualCost = actualCost;
     handle(ended);
 }
 
