--- a/tests/integration/readiness_test.cpp
+++ b/tests/integration/readiness_test.cpp
@@ -1,4 +1,4 @@
-// When a new process answers GET /-/ready with 200.
+// The conditions under which a new gateway process answers GET /-/ready with 200.
 #include <gtest/gtest.h>
 
 #include <list>
@@ -15,7 +15,7 @@
 
 constexpr std::chrono::milliseconds kInitialUpdateWait{500};
 
-// ---- The first list of a pushing agent ------------------------------------------------------------------
+// ---- The first list of a discovery agent in push mode ---------------------------------------------------
 
 class InitialUpdateTest : public GatewayTest {
 protected:
@@ -36,13 +36,13 @@
     expectReady(gateway());
 }
 
-// An agent is silent while discovery is down.
-TEST_F(InitialUpdateTest, IsReadySoonWithoutListOfAgent) {
+// An agent sends nothing while discovery is down.
+TEST_F(InitialUpdateTest, IsReadyAfterInitialUpdateWaitWithoutList) {
     startGatewayThatWaits(std::chrono::milliseconds(1));
     expectReady(gateway());
 }
 
-// ---- Discovery that fails -------------------------------------------------------------------------------
+// ---- Failed calls to discovery --------------------------------------------------------------------------
 
 class StartupReadinessTest : public testing::TestWithParam<std::string> {
 protected:
@@ -54,7 +54,7 @@
                              return parameter.param == kPushedDiscovery ? "Push" : "Poll";
                          });
 
-TEST_P(StartupReadinessTest, IsReadyHoweverCallsToDiscoveryFail) {
+TEST_P(StartupReadinessTest, IsReadyAfterAnyFailureOfCallToDiscovery) {
     for (const CallFailure failure : kCallFailures) {
         SCOPED_TRACE(failure);
         FailingDiscovery discovery(failure);
@@ -68,8 +68,8 @@
     }
 }
 
-// Part of a fleet is restarted at once, while discovery does not answer or rejects all calls.
-TEST_P(StartupReadinessTest, AllOfManyThatStartTogetherAreReady) {
+// Many gateways of a fleet restart at once, while discovery does not answer or rejects all calls.
+TEST_P(StartupReadinessTest, AllGatewaysThatStartTogetherBecomeReady) {
     constexpr int kGateways = 12;
     for (const bool rejects : {false, true}) {
         SCOPED_TRACE(rejects ? "discovery rejects" : "discovery does not answer");
@@ -119,7 +119,8 @@
     expectReady(gateway);
 }
 
-// By then the list that discovery has must be known.
+// A gateway must have discovery's current list by the update deadline, so it must not wait longer for
+// endpoints.
 TEST(EmptyListWaitTest, EndsBeforeUpdateDeadline) {
     GatewayOptions options;
     options.discovery = "127.0.0.1:1";
