--- a/src/net/transport/tcp_connection.cpp
+++ b/src/net/transport/tcp_connection.cpp
@@ -35,7 +35,7 @@
 
 // ---- Connecting -----------------------------------------------------------------------------------
 
-void TcpConnection::connect(const tcp::endpoint& peer, TimerQueue& timers, Duration limit,
+void TcpConnection::connect(const tcp::endpoint& peer, TimerQueue& timers, Duration timeout,
                             const ReclaimDescriptor& reclaimDescriptor) {
     lacksDescriptor_ = !openSocket(peer, reclaimDescriptor);
     if (lacksDescriptor_) {
@@ -56,7 +56,7 @@
         });
     });
     // A machine that was cut off never answers, so only this timer ends the connecting.
-    timers.after(limit, [weak = weak_from_this()] {
+    timers.after(timeout, [weak = weak_from_this()] {
         const auto self = weak.lock();
         if (self && !self->open_) self->fail();
     });
--- a/src/net/transport/tcp_connection.h
+++ b/src/net/transport/tcp_connection.h
@@ -35,9 +35,9 @@
     TcpConnection& operator=(const TcpConnection&) = delete;
 
     // Connects to `peer`. Calls onConnected(), or onClosed() if the connection is refused or takes longer
-    // than `limit`, but never before returning. If the process has no descriptor left, tries once more after
+    // than `timeout`, but never before returning. If the process has no descriptor left, tries once more after
     // `reclaimDescriptor`, which may be empty.
-    void connect(const tcp::endpoint& peer, TimerQueue& timers, Duration limit,
+    void connect(const tcp::endpoint& peer, TimerQueue& timers, Duration timeout,
                  const ReclaimDescriptor& reclaimDescriptor = {});
 
     // Starts to read from an accepted connection. Precondition: constructed from a connected socket.
--- a/src/net/transport/timer_queue.cpp
+++ b/src/net/transport/timer_queue.cpp
@@ -19,13 +19,13 @@
 
 }  // namespace
 
-TimerQueue::Token TimerQueue::after(Duration delay, std::function<void()> run) {
+TimerQueue::Token TimerQueue::after(Duration delay, std::function<void()> callback) {
     const SteadyTimePoint now = steady_clock::now();
     const SteadyTimePoint due = delay > Duration::zero() ? roundUpToGrid(now + delay) : now;
     const Token token = nextToken_;
     ++nextToken_;
     entries_.emplace(due, token);
-    callbacks_.emplace(token, std::move(run));
+    callbacks_.emplace(token, std::move(callback));
     if (due < armedFor_) arm();
     return token;
 }
--- a/src/net/transport/timer_queue.h
+++ b/src/net/transport/timer_queue.h
@@ -24,9 +24,9 @@
     // `ioContext` must outlive the queue, and the queue every handler that `ioContext` runs.
     explicit TimerQueue(boost::asio::io_context& ioContext) : timer_(ioContext) {}
 
-    // Calls `run` once from the event loop, `delay` from now or up to 2 ms later. A delay of 0 or less means
-    // the loop's next turn. An exception of `run` is logged and affects no other timer.
-    Token after(Duration delay, std::function<void()> run);
+    // Calls `callback` once from the event loop, `delay` from now or up to 2 ms later. A delay of 0 or less means
+    // the loop's next turn. An exception of `callback` is logged and affects no other timer.
+    Token after(Duration delay, std::function<void()> callback);
 
     // Has no effect on a timer that has fired or was cancelled.
     void cancel(Token token);
--- a/tests/net/transport/tcp_connection_test.cpp
+++ b/tests/net/transport/tcp_connection_test.cpp
@@ -49,8 +49,8 @@
 protected:
     using Calls = std::vector<std::string>;
 
-    void connect(Duration limit = seconds(20), const ReclaimDescriptor& reclaimDescriptor = {}) {
-        connection->connect(address(), timers, limit, reclaimDescriptor);
+    void connect(Duration timeout = seconds(20), const ReclaimDescriptor& reclaimDescriptor = {}) {
+        connection->connect(address(), timers, timeout, reclaimDescriptor);
     }
 
     void connectAndAccept() {
