--- a/src/net/server/event_loop_dispatcher.cpp
+++ b/src/net/server/event_loop_dispatcher.cpp
@@ -1,6 +1,7 @@
 #include "net/server/event_loop_dispatcher.h"
 
 #include <exception>
+#include <string>
 #include <utility>
 
 #include "net/transport/log.h"
@@ -22,8 +23,9 @@
     actions_.clear();
     try {
         handlers_.handleEvent(events_.front(), actions_);
-    } catch (const std::exception& e) {  // costs this event, not the process and its other requests
-        log(LogLevel::error, "decision engine", e.what());
+    } catch (const std::exception& e) {  // other requests and the process are not affected
+        log(LogLevel::error, "decision engine",
+            std::string("handling an event failed, continuing with the next one: ") + e.what());
     }
     events_.pop_front();
     for (const Action& action : actions_) handlers_.executeAction(action);
--- a/src/net/server/service.cpp
+++ b/src/net/server/service.cpp
@@ -4,6 +4,7 @@
 #include <boost/asio/signal_set.hpp>
 #include <csignal>
 #include <exception>
+#include <string>
 
 #include "net/server/gateway_server.h"
 #include "net/transport/log.h"
@@ -11,7 +12,7 @@
 namespace gateway::net {
 namespace {
 
-// Shuts the server down or reloads its configuration on signals.
+// Shuts the server down on SIGTERM and SIGINT, and reloads its configuration on SIGHUP.
 class SignalHandler {
 public:
     SignalHandler(boost::asio::io_context& ioContext, GatewayServer& server)
@@ -43,7 +44,8 @@
             server_.ensureDescriptor();
             server_.reload(configFromEnvironment(ConfigLoad::reload));
         } catch (const std::exception& e) {
-            log(LogLevel::error, "SIGHUP", e.what());
+            log(LogLevel::error, "SIGHUP",
+                std::string("configuration not reloaded, continuing with the previous one: ") + e.what());
         }
     }
 
@@ -53,14 +55,15 @@
     boost::asio::signal_set hangups_;
 };
 
-// Runs the event loop until it is stopped. An exception ends the handler that threw, not the process.
+// Runs the event loop until it is stopped. An exception ends only the handler that threw it.
 void runLoop(boost::asio::io_context& ioContext) {
     for (;;) {
         try {
             ioContext.run();
             return;
         } catch (const std::exception& e) {
-            log(LogLevel::error, "event loop", e.what());
+            log(LogLevel::error, "event loop",
+                std::string("a handler failed, continuing with the next one: ") + e.what());
         }
     }
 }
--- a/src/net/transport/timer_queue.cpp
+++ b/src/net/transport/timer_queue.cpp
@@ -1,6 +1,7 @@
 #include "net/transport/timer_queue.h"
 
 #include <exception>
+#include <string>
 
 #include "net/transport/log.h"
 
@@ -30,7 +31,8 @@
     return token;
 }
 
-// The Asio timer stays armed: if the cancelled timer was the next due, it fires once with nothing to do.
+// Does not rearm the Asio timer: if the cancelled timer was the earliest, the Asio timer fires once without
+// any timer due.
 void TimerQueue::cancel(Token token) {
     if (callbacks_.erase(token) > 0) removeCancelledFront();
 }
@@ -43,13 +45,13 @@
     armedFor_ = entries_.top().first;
     timer_.expires_at(armedFor_);
     timer_.async_wait([this](const boost::system::error_code& ec) {
-        if (!ec) fireDue();  // an error means that it was armed again for an earlier time
+        if (!ec) fireDue();  // an error: the Asio timer was armed again for an earlier time
     });
 }
 
 void TimerQueue::fireDue() {
     const SteadyTimePoint now = steady_clock::now();
-    armedFor_ = SteadyTimePoint::min();  // callbacks that set timers leave the arming to the end
+    armedFor_ = SteadyTimePoint::min();  // keeps callbacks that add timers from arming; arm() follows below
     while (!entries_.empty() && entries_.top().first <= now) {
         const Token token = entries_.top().second;
         entries_.pop();
@@ -68,7 +70,8 @@
     try {
         callback();
     } catch (const std::exception& e) {  // the other timers still have to fire
-        log(LogLevel::error, "timer", e.what());
+        log(LogLevel::error, "timer",
+            std::string("callback failed, continuing with the other timers: ") + e.what());
     }
 }
 
