--- a/src/net/transport/backoff.h
+++ b/src/net/transport/backoff.h
@@ -8,26 +8,28 @@
 
 namespace gateway::net {
 
-// Draws the waits between the attempts to reach a peer. Jitter spreads the gateways that lose a peer at the
-// same moment, and growth takes load off a peer that can't keep up.
+// Computes the waits between attempts to connect to a peer. The jitter keeps gateways that lose a peer at the
+// same time from reconnecting together. The growing bound reduces the load on a peer that is overloaded.
 class Backoff {
 public:
     // Preconditions: 0 < `initialBound` <= `maxBound`.
     Backoff(Duration initialBound, Duration maxBound, std::uint64_t seed);
 
-    // Draws a wait evenly up to a bound that doubles with each call, from the initial to the max one.
+    // Returns a random wait, uniformly distributed up to a bound. The bound is `initialBound` for the first
+    // call and doubles with each further call, up to `maxBound`.
     Duration next();
 
-    // Draws a wait evenly up to `bound`, without growth. Returns 0 if `bound` is not above 0.
+    // Returns a random wait, uniformly distributed up to `bound`. Does not change the bound of next().
+    // Returns 0 if `bound` is 0 or less.
     Duration within(Duration bound);
 
-    // Starts again from the initial bound.
+    // Sets the bound of the next call to next() back to `initialBound`.
     void reset();
 
 private:
     Duration initialBound_;
     Duration maxBound_;
-    Duration bound_{};  // of the latest wait; 0 after reset()
+    Duration bound_{};  // of the latest next(); 0 before the first and after reset()
     std::mt19937_64 random_;
 };
 
--- a/src/net/transport/clock.h
+++ b/src/net/transport/clock.h
@@ -7,17 +7,17 @@
 
 namespace gateway::net {
 
-// A point in time on this process's monotonic clock, for time limits and ages.
+// A point in time on this process's monotonic clock, for timeouts and ages.
 using SteadyTimePoint = std::chrono::steady_clock::time_point;
 
-// The fleet's clock: Unix time, read once at construction and advanced by the steady clock. It never steps,
-// even if the system's clock is set. Its epoch is shared by all gateways, since window slices on the counter
-// and start times of endpoints are counted from it.
+// The clock that all gateways share: Unix time, read once at construction and advanced by the steady clock.
+// It never jumps, even if the system clock is changed. Window slices on the counter service and the start
+// times of endpoints are counted from its epoch.
 class Clock {
 public:
     TimePoint now() const { return at(std::chrono::steady_clock::now()); }
 
-    // Converts a time of this process's monotonic clock.
+    // Converts a point in time on the monotonic clock to this clock.
     TimePoint at(SteadyTimePoint time) const {
         return base_ + std::chrono::duration_cast<Duration>(time - start_);
     }
--- a/src/net/transport/log.h
+++ b/src/net/transport/log.h
@@ -1,4 +1,4 @@
-// The process's log: one line for each message on standard error. docs/operations.md lists the messages.
+// The log of the process: one line on standard error for each message. docs/operations.md lists the messages.
 #pragma once
 
 #include <string_view>
--- a/src/net/transport/tcp_connection.cpp
+++ b/src/net/transport/tcp_connection.cpp
@@ -12,10 +12,10 @@
 namespace {
 
 constexpr std::size_t kReadBytes = 4096;
-constexpr std::size_t kMaxIdleOutputCapacity = 16UL * 1024;  // bytes, kept once all is written
+constexpr std::size_t kMaxIdleOutputCapacity = 16UL * 1024;  // kept for reuse once all is written
 constexpr std::size_t kDiscardBytes = 64UL * 1024;
 
-// Receives the input that is dropped. Shared by all connections, since its contents are never read.
+// Receives discarded input. All connections share it, because its contents are never read.
 std::array<char, kDiscardBytes> discardBuffer;
 
 bool wouldBlock(const error_code& ec) {
@@ -55,7 +55,7 @@
             onConnected();
         });
     });
-    // A machine that was cut off never answers, so only this timer ends the connecting.
+    // An unreachable machine never answers, so only this timer ends the attempt to connect.
     timers.after(timeout, [weak = weak_from_this()] {
         const auto self = weak.lock();
         if (self && !self->open_) self->fail();
@@ -99,8 +99,8 @@
     });
 }
 
-// Commits bytes that were read into the input's prepared area. If the input was consumed meanwhile, the area
-// has moved to the buffer's beginning.
+// Appends `size` bytes that were read into the prepared area of the input. If the input was consumed while
+// the read was pending, the area has moved to the beginning of the buffer, and the bytes are copied there.
 void TcpConnection::appendInput(const void* bytes, std::size_t size) {
     const auto area = input_.prepare(size);
     if (area.data() != bytes) std::memmove(area.data(), bytes, size);
@@ -126,7 +126,7 @@
     if (closed_) return true;
     const PeekResult result = peek();
     if (result != PeekResult::bytes) return result == PeekResult::end;
-    pollfd request{socket_.native_handle(), POLLRDHUP, 0};  // reports an end behind unread bytes as well
+    pollfd request{socket_.native_handle(), POLLRDHUP, 0};  // reports a close even if there are unread bytes
     return ::poll(&request, 1, 0) > 0 && request.revents != 0;
 }
 
@@ -146,8 +146,8 @@
         if (output_.capacity() > kMaxIdleOutputCapacity) output_.shrink_to_fit();
         return;
     }
-    // Nothing more is written on a broken connection. The pending read reports its end, after what the peer
-    // may still have sent.
+    // A failed connection is not written to any more. The pending read reports the failure after it has
+    // delivered the bytes that the peer sent before.
     if (ec && !wouldBlock(ec)) return;
     awaitWritable();
 }
--- a/src/net/transport/tcp_connection.h
+++ b/src/net/transport/tcp_connection.h
@@ -1,4 +1,4 @@
-// One TCP connection: connecting, reading continuously, writing in order.
+// A TCP connection: connects, reads continuously and writes in order.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -19,90 +19,93 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-// Frees a descriptor for a connection when the process has none left. Returns false if none can be freed.
+// Frees a file descriptor when the process has none left. Returns false if it can't free one.
 using ReclaimDescriptor = std::function<bool()>;
 
-// The base of every connection of the process.
+// The base class of all TCP connections of the process.
 //
-// Must be owned by a shared_ptr, since pending operations hold one. A timer that may outlive the connection
-// must hold a weak_ptr. Derived classes learn what happens through the private virtual functions. Those are
-// called from the event loop; onClosed() can also come from within a call of the derived class that fails. An
-// exception of a derived class closes its connection and affects nothing else.
+// Must be owned by a shared_ptr, because pending operations hold a copy of it. A timer that can outlive the
+// connection must hold a weak_ptr. The private virtual functions notify the derived class of events and are
+// called from the event loop only. If onConnected(), onReceived() or onSendDrained() throws an exception, the
+// connection is closed and onClosed() is called; other connections are not affected.
 class TcpConnection : public std::enable_shared_from_this<TcpConnection> {
 public:
     virtual ~TcpConnection() = default;
     TcpConnection(const TcpConnection&) = delete;
     TcpConnection& operator=(const TcpConnection&) = delete;
 
-    // Connects to `peer`. Calls onConnected(), or onClosed() if the connection is refused or takes longer
-    // than `timeout`, but never before returning. If the process has no descriptor left, tries once more after
-    // `reclaimDescriptor`, which may be empty.
+    // Connects to `peer`. Calls onConnected(), or onClosed() if connecting fails or takes longer than
+    // `timeout`, but never before returning. If the process has no file descriptor left, calls
+    // `reclaimDescriptor`, which may be empty, and tries once more if it returns true.
     void connect(const tcp::endpoint& peer, TimerQueue& timers, Duration timeout,
                  const ReclaimDescriptor& reclaimDescriptor = {});
 
-    // Starts to read from an accepted connection. Precondition: constructed from a connected socket.
+    // Starts reading from an accepted connection. Precondition: constructed from a connected socket.
     void start();
 
-    // Whether connecting failed because this process has no descriptor left, which is no evidence about the
-    // peer.
+    // Returns whether connect() failed because this process has no file descriptor left. Such a failure says
+    // nothing about the peer.
     bool lacksDescriptor() const { return lacksDescriptor_; }
 
-    // Whether bytes have come that have not been consumed, read or not.
+    // Returns whether received bytes have not been consumed, whether they are in input() or still in the
+    // kernel.
     bool hasInput() { return input_.size() > 0 || peek() == PeekResult::bytes; }
 
-    // Whether neither unconsumed bytes nor the connection's end have come.
+    // Returns whether the connection is open and has no unconsumed bytes, in input() or in the kernel.
     bool isQuiet() { return input_.size() == 0 && peek() == PeekResult::nothing; }
 
-    // Whether the peer's end of sending, or a failure, has come, read or not, even behind unread bytes. Costs
-    // one system call, or two if there are unread bytes.
+    // Returns whether the peer has closed its sending direction or the connection has failed, even if
+    // received bytes have not been read yet. Makes one system call, or two if there are unread bytes.
     bool peerHasClosed();
 
-    // Appends `bytes` to the output and writes what the kernel accepts at once. The rest follows in order.
+    // Appends `bytes` to the output and writes as much as the kernel accepts. The rest is written when the
+    // socket becomes writable.
     void send(std::string_view bytes) {
         queue(bytes);
         flush();
     }
 
-    // Appends `bytes` to the output. They are written by the next flush() or send().
+    // Appends `bytes` to the output. The next flush() or send() writes them.
     void queue(std::string_view bytes) { output_.append(bytes); }
 
-    // Writes the output. Has no effect while the connection is not open; call it again from onConnected().
+    // Writes the output. Has no effect while the connection is not open; the derived class calls it again
+    // from onConnected().
     void flush();
 
     // Closes the connection without calling onClosed().
     void close();
 
-    // Whether the connection is up: connected and not closed.
+    // Returns whether the connection is established and not closed.
     bool isOpen() const { return open_; }
 
-    // The number of bytes that were handed to the kernel since the connection came up.
+    // The number of bytes that were passed to the kernel since the connection was established.
     std::uint64_t written() const { return written_; }
 
-    // Whether all output was handed to the kernel.
+    // Returns whether all output was passed to the kernel.
     bool allWritten() const { return output_.size() == outputPosition_; }
 
 protected:
-    // For connect(). `ioContext` must outlive the connection.
+    // Constructs a connection for connect(). `ioContext` must outlive it.
     explicit TcpConnection(boost::asio::io_context& ioContext) : socket_(ioContext) {}
 
-    // For start().
+    // Constructs a connection for start().
     explicit TcpConnection(tcp::socket&& socket) : socket_(std::move(socket)) {}
 
-    // The bytes that were read and not consumed yet. Grows to 128 KiB at most; a connection that exceeds that
-    // is closed.
+    // The bytes that were read and not consumed yet, at most 128 KiB. A connection that exceeds this limit is
+    // closed.
     boost::beast::flat_buffer& input() { return input_; }
 
-    // Drops the input, and all that comes from now on. Reading goes on, since otherwise the connection's end
-    // would not be noticed.
+    // Discards the input and all bytes that arrive from now on. Reading continues, because it detects the end
+    // of the connection.
     void discardInput();
 
-    // Drops all that comes from now on, but keeps the input that has come.
+    // Discards all bytes that arrive from now on, but keeps the present input.
     void dropFurtherInput() { discarding_ = true; }
 
-    // Whether new input is dropped.
+    // Returns whether arriving bytes are discarded.
     bool dropsInput() const { return discarding_; }
 
-    // Ends the sending direction. The connection stays open for reading.
+    // Closes the sending direction. The connection stays open for reading.
     void shutdownSend();
 
 private:
@@ -110,8 +113,8 @@
 
     virtual void onConnected() {}
     virtual void onReceived() = 0;   // input() has grown
-    virtual void onSendDrained() {}  // output that the kernel did not accept at once is all written
-    virtual void onClosed() = 0;     // the peer closed the connection, it failed, or it was never up
+    virtual void onSendDrained() {}  // the kernel has accepted all output, after it had refused a part
+    virtual void onClosed() = 0;     // the peer closed the connection, or connecting or the connection failed
 
     PeekResult peek();
     bool openSocket(const tcp::endpoint& peer, const ReclaimDescriptor& reclaimDescriptor);
@@ -127,7 +130,7 @@
     tcp::socket socket_;
     boost::beast::flat_buffer input_{kMaxInputBytes};
     std::string output_;
-    std::size_t outputPosition_ = 0;  // of the first byte that is not written
+    std::size_t outputPosition_ = 0;  // of the first unwritten byte
     std::uint64_t written_ = 0;
     bool lacksDescriptor_ = false;
     bool open_ = false;
