--- a/src/net/upstream/attempt.h
+++ b/src/net/upstream/attempt.h
@@ -1,4 +1,4 @@
-// What endpoints receive of a request, and the result of one attempt to have it served.
+// The parts of a request that are sent to an endpoint, and the result of one attempt to do so.
 #pragma once
 
 #include <cstdint>
@@ -10,31 +10,31 @@
 
 namespace gateway::net {
 
-// Identifies an attempt among those of all requests. Ids are never reused.
+// Identifies an attempt among the attempts of all requests. Ids are not reused.
 enum class AttemptId : std::uint64_t { none = 0 };
 
-// The parts of a client's request that are forwarded, as the client sent them.
+// The parts of a client's request that are forwarded, unchanged.
 struct ForwardedRequest {
     std::string method;
     std::string target;
     std::string host;
     std::string id;
-    std::string idempotencyKey;  // empty: the request has none
+    std::string idempotencyKey;  // empty if the request has none
     std::string body;
 };
 
-// The result of an attempt. Values that the endpoint did not report are absent.
+// The result of an attempt. Optional values are absent if the endpoint did not report them.
 struct AttemptResult {
     Outcome outcome = Outcome::reset;
     Duration elapsed{};  // from the start of the attempt
     std::optional<LoadReport> report;
-    std::optional<double> meteredPercent;  // of the tenant's quota in use, over all gateways
-    std::optional<double> trueCost;        // what the request cost in the end; with Outcome::ok only
+    std::optional<double> meteredPercent;  // use of the tenant's quota, over all gateways
+    std::optional<double> trueCost;        // actual cost of the request; with Outcome::ok only
     std::string contentType;               // with Outcome::ok only
     std::string body;                      // with Outcome::ok only
 };
 
-// The result of an attempt of which the endpoint received nothing.
+// Returns the result of an attempt that was not sent.
 inline AttemptResult notSentResult() {
     AttemptResult result;
     result.outcome = Outcome::notSent;
--- a/src/net/upstream/attempt_runner.cpp
+++ b/src/net/upstream/attempt_runner.cpp
@@ -12,7 +12,7 @@
                              const Limits& limits, Hooks hooks)
     : ioContext_(ioContext), timers_(timers), idle_(idle), limits_(limits), hooks_(std::move(hooks)) {}
 
-// ---- Start and send -------------------------------------------------------------------------------
+// ---- Starting and sending -------------------------------------------------------------------------
 
 void AttemptRunner::start(AttemptId id, std::shared_ptr<UpstreamEndpoint> endpoint, const Options& options,
                           std::shared_ptr<const ForwardedRequest> request) {
@@ -34,7 +34,7 @@
         send(attempt);
         return;
     }
-    if (!hasConnectionCapacity()) {  // a shortage of this process is no evidence about the endpoint
+    if (!hasConnectionCapacity()) {  // the endpoint is not at fault
         finish(id, Outcome::notSent);
         return;
     }
@@ -46,7 +46,7 @@
            attempt.endpoint->acceptsAttempts(steady_clock::now(), limits_.drainGracePeriod);
 }
 
-// Whether a connection may be opened, if need be in place of an idle one.
+// Returns whether a connection may be opened. Closes an idle connection if the limit is reached.
 bool AttemptRunner::hasConnectionCapacity() {
     return *openConnections_ < limits_.connections || idle_.evictOldest();
 }
@@ -70,7 +70,8 @@
     const auto found = attempts_.find(id);
     if (found == attempts_.end()) return;
     const Attempt& attempt = found->second;
-    // The endpoint started draining, or the start deadline passed, while connecting.
+    // The drain grace period or the start deadline may have passed while the connection was being
+    // established.
     const SteadyTimePoint now = steady_clock::now();
     if (!attempt.endpoint->acceptsAttempts(now, limits_.drainGracePeriod) || now >= attempt.startDeadline) {
         attempt.connection->close();
@@ -85,7 +86,7 @@
     attempt.connection->write(*attempt.request, timeLeft);
 }
 
-// ---- Ends -----------------------------------------------------------------------------------------
+// ---- Ending ---------------------------------------------------------------------------------------
 
 void AttemptRunner::onResponse(AttemptId id, AttemptResult&& result, bool isReusable) {
     const auto found = attempts_.find(id);
@@ -105,10 +106,10 @@
     if (id == AttemptId::none) {
         onUnexpectedInput(connection);
     } else if (connection->isRequestWritten()) {
-        finish(id, Outcome::reset);  // it may have run
+        finish(id, Outcome::reset);  // the endpoint may have run the request
     } else {
-        // The end of a connection that had been idle, or a shortage of descriptors in this process, is
-        // no evidence about the endpoint's health.
+        // Neither the loss of a connection that had been idle nor a lack of file descriptors in this process
+        // says anything about the endpoint's health.
         const bool isEndpointAtFault = !connection->isReused() && !connection->lacksDescriptor();
         finish(id, isEndpointAtFault ? Outcome::connectFailed : Outcome::notSent);
     }
@@ -123,9 +124,9 @@
     if (found == attempts_.end()) return;
     const Attempt& attempt = found->second;
     attempt.connection->close();
-    // A machine that was cut off sends nothing, and its connections stay open. If no response came from the
-    // endpoint during the attempt, its idle connections are closed as well: the next attempt then connects,
-    // which shows whether the endpoint is reachable.
+    // Connections to an unreachable machine stay open without an error. If the endpoint has sent no response
+    // since the attempt started, its idle connections are closed too, so that the next attempt has to connect
+    // and finds out whether the endpoint is reachable.
     const UpstreamEndpoint& endpoint = *attempt.endpoint;
     if (endpoint.lastResponseAt() < attempt.startedAt) idle_.closeAll(endpoint);
     finish(id, attempt.connection->isRequestWritten() ? Outcome::timedOut : Outcome::connectFailed);
--- a/src/net/upstream/attempt_runner.h
+++ b/src/net/upstream/attempt_runner.h
@@ -1,4 +1,4 @@
-// Runs attempts: sends each one to its endpoint and reports its result.
+// Runs attempts: sends each attempt to its endpoint and reports the result.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,45 +17,48 @@
 
 namespace gateway::net {
 
-// Each attempt uses an idle connection, or else a new one, and is sent once at most. It ends with its
-// response, the end of its connection, its timeout or its cancellation, whichever comes first.
+// An attempt uses an idle connection if there is one, and a new connection otherwise. It is sent at most
+// once. It ends when its response is complete, its connection fails, its timeout expires or it is cancelled,
+// whichever happens first.
 class AttemptRunner final : private UpstreamConnectionObserver {
 public:
     struct Limits {
-        std::size_t connections = 256;          // max, over all endpoints, idle ones included
-        Duration connectTimeout{};              // 0: the attempt's timeout alone limits connecting
-        Duration drainGracePeriod{};            // during which a draining endpoint is sent attempts
-        ReclaimDescriptor reclaimDescriptor{};  // for when the process has no descriptor left
+        std::size_t connections = 256;          // over all endpoints, including idle connections
+        Duration connectTimeout{};              // 0: only the attempt's timeout applies
+        Duration drainGracePeriod{};            // during which attempts are sent to a draining endpoint
+        ReclaimDescriptor reclaimDescriptor{};  // called if the process has no file descriptor left
     };
     struct Hooks {
-        // Called once for each attempt, at the earliest within start().
+        // Called once for each attempt when it ends, possibly before start() returns.
         std::function<void(AttemptId, AttemptResult&&)> onEnded;
-        // Called when a new connection is up, before the attempt is written to it. May cancel the attempt.
+        // Called when a new connection is established, before the attempt is written to it. May cancel the
+        // attempt.
         std::function<void(AttemptId)> beforeSend;
-        // Whether the attempt is to be sent. If not, it ends as Outcome::notSent.
+        // Returns whether to send the attempt, after beforeSend. If false, it ends as Outcome::notSent.
         std::function<bool(AttemptId)> isWanted;
     };
     struct Options {
         Duration timeout{};      // for the complete response
-        Duration startWithin{};  // after which no byte of the request is sent; 0: no such limit
+        Duration startWithin{};  // the request is not sent later than this; 0: no limit
     };
 
-    // `ioContext`, `timers` and `idle` must outlive the runner, and the runner every handler that `ioContext`
-    // runs.
+    // `ioContext`, `timers` and `idle` must outlive the runner. `ioContext` must not run a handler after the
+    // runner is destroyed.
     AttemptRunner(boost::asio::io_context& ioContext, TimerQueue& timers, IdleConnectionPool& idle,
                   const Limits& limits, Hooks hooks);
 
-    // Starts an attempt. Precondition: `id` was not used before. `endpoint` is null if it is not listed. The
-    // attempt ends at once as Outcome::notSent if its endpoint is not listed or has drained, if its time is
-    // over, or if every connection is in use.
+    // Starts an attempt. `endpoint` is null if discovery does not list it. Precondition: `id` was not used
+    // before. The attempt ends at once as Outcome::notSent if its endpoint is not listed, if the endpoint's
+    // drain grace period is over, if `options.timeout` is 0 or less, or if all connections are in use.
     void start(AttemptId id, std::shared_ptr<UpstreamEndpoint> endpoint, const Options& options,
                std::shared_ptr<const ForwardedRequest> request);
 
-    // Ends an attempt as Outcome::cancelled, or as Outcome::notSent if its last byte has not been sent. Has
-    // no effect on one that has ended.
+    // Ends an attempt as Outcome::cancelled, or as Outcome::notSent if its request has not been sent
+    // completely. Has no effect if the attempt has ended.
     void cancel(AttemptId id);
 
-    // Cancels the attempt if its last byte has not been sent, as while its connection is being established.
+    // Cancels an attempt if its request has not been sent completely, for example while the connection is
+    // being established.
     void cancelUnsent(AttemptId id);
 
 private:
--- a/src/net/upstream/idle_connection_pool.cpp
+++ b/src/net/upstream/idle_connection_pool.cpp
@@ -31,7 +31,7 @@
     if (found == connections_.end()) return nullptr;
     IdleConnections& candidates = found->second;
     const SteadyTimePoint now = steady_clock::now();
-    // Connections in their cool-down are the most recently used, at the back.
+    // Skips the connections in their cool-down: they are the most recently used, at the back.
     const SteadyTimePoint cooldownStart = now - limits_.reuseDelay;
     auto end = candidates.end();
     while (end != candidates.begin() && std::prev(end)->idleSince > cooldownStart) --end;
@@ -39,7 +39,7 @@
         --end;
         const IdleConnection idle = std::move(*end);
         end = candidates.erase(end);
-        // Surplus bytes or the connection's end may have come without having been read.
+        // Surplus bytes or the close of the connection may not have been read yet.
         if (!isExpired(idle, now) && idle.connection->isQuiet()) return idle.connection;
         idle.connection->close();
     }
--- a/src/net/upstream/idle_connection_pool.h
+++ b/src/net/upstream/idle_connection_pool.h
@@ -1,4 +1,4 @@
-// The idle connections to all endpoints.
+// A pool of the idle connections to all endpoints.
 #pragma once
 
 #include <memory>
@@ -13,38 +13,39 @@
 
 namespace gateway::net {
 
-// Holds connections between two attempts. A connection has a cool-down before reuse, since a surplus response
-// could be taken for the next request's. It is closed after half of the endpoints' keep-alive time, so that
-// no request is written to a connection that its endpoint is closing.
+// Holds connections between two attempts. A connection is not reused during a cool-down, so that a surplus
+// response is detected before it can be mistaken for the response to the next request. A connection that has
+// been idle for half of the endpoints' keep-alive time is closed, so that no request is written to a
+// connection that the endpoint is closing.
 class IdleConnectionPool {
 public:
     using ConnectionPtr = std::shared_ptr<UpstreamConnection>;
 
     struct Limits {
-        Duration keepAlive{};   // after which endpoints close an idle connection; above 0
+        Duration keepAlive{};   // endpoints close connections that were idle this long; above 0
         Duration reuseDelay{};  // cool-down after a response
     };
 
-    // `timers` must outlive the pool, and the pool the timers' last run.
+    // `timers` must outlive the pool. It must not run a timer after the pool is destroyed.
     IdleConnectionPool(TimerQueue& timers, const Limits& limits);
 
-    // An endpoint is identified by its object. Precondition of its destruction: none of its connections is in
-    // the pool, as after closeAll().
+    // The pool identifies an endpoint by the address of its object. An endpoint must not be destroyed while
+    // the pool holds connections to it: call closeAll() first.
 
     // Adds a connection that became idle at `idleSince`. Precondition: connections to one endpoint are added
     // in the order of `idleSince`.
     void add(const UpstreamEndpoint& endpoint, ConnectionPtr connection, SteadyTimePoint idleSince);
 
-    // Removes and returns the most recently used connection that can carry a request now, or null if there is
-    // none. Closes the connections that it finds unusable.
+    // Removes and returns the most recently used connection that is usable now, or null if there is none.
+    // Closes the unusable connections that it finds.
     ConnectionPtr take(const UpstreamEndpoint& endpoint);
 
-    // Closes the connection, and removes it if it is in the pool.
+    // Closes the connection and removes it from the pool, if the pool holds it.
     void close(const ConnectionPtr& connection);
 
     void closeAll(const UpstreamEndpoint& endpoint);
 
-    // Closes the connection that has been idle longest, over all endpoints. Returns false if there is none.
+    // Closes the connection of any endpoint that has been idle longest. Returns false if the pool is empty.
     bool evictOldest();
 
 private:
--- a/src/net/upstream/upstream_connection.cpp
+++ b/src/net/upstream/upstream_connection.cpp
@@ -15,9 +15,8 @@
 
 namespace {
 
-constexpr int kMaxInterimResponses = 8;  // 1xx responses ahead of a final one
-// From the first bytes of a response. A response can be without end: its head may not end, or may announce
-// more bytes than come.
+constexpr int kMaxInterimResponses = 8;  // 1xx responses before a final one
+// Counted from the first bytes of a response. Ends responses that never complete.
 constexpr Duration kMaxResponseTime = std::chrono::milliseconds(200);
 constexpr std::size_t kUsualHeadBytes = 320;
 
@@ -71,11 +70,11 @@
 }
 
 void UpstreamConnection::onReceived() {
-    if (attempt_ == AttemptId::none) {  // else the bytes would be taken for the next request's response
+    if (attempt_ == AttemptId::none) {  // the bytes belong to no request
         observer_.onUnexpectedInput(self());
         return;
     }
-    if (written() == writtenBefore_) {  // a response to a request of which no byte was written
+    if (written() == writtenBefore_) {  // no byte of the request was written yet
         closeAsBroken();
         return;
     }
@@ -85,7 +84,7 @@
         case ParseProgress::incomplete:
             limitResponseTime();
             break;
-        case ParseProgress::interim:  // the final response has a time limit of its own
+        case ParseProgress::interim:  // the time limit starts with the final response
             break;
         case ParseProgress::complete:
             finishResponse();
@@ -96,14 +95,15 @@
     }
 }
 
-// Consumes input for the response in hand. After an interim response, the next one is in hand.
+// Parses input for the current response and consumes it. After an interim response, the next response becomes
+// the current one.
 UpstreamConnection::ParseProgress UpstreamConnection::parseInput() {
     error_code ec;
     const std::size_t used = parser_->put(input().data(), ec);
     input().consume(used);
     if (announcesBodyOver(*parser_, kMaxBodyBytes)) return ParseProgress::malformed;
     if (ec == http::error::need_more) return ParseProgress::incomplete;
-    // A response that ends with its connection may have been truncated.
+    // A response without a length ends with the connection, so a truncated one can't be detected.
     if (ec || parser_->need_eof()) return ParseProgress::malformed;
     if (!parser_->is_done()) return ParseProgress::incomplete;
     if (!isInterim(parser_->get())) return ParseProgress::complete;
--- a/src/net/upstream/upstream_connection.h
+++ b/src/net/upstream/upstream_connection.h
@@ -1,4 +1,4 @@
-// One connection to an endpoint. It carries one attempt at a time.
+// A connection to an endpoint, which carries one attempt at a time.
 #pragma once
 
 #include <boost/beast/http/parser.hpp>
@@ -17,7 +17,7 @@
 
 class UpstreamConnection;
 
-// Learns what happens on upstream connections. Calls come from the event loop, and within connect() never.
+// Receives the events of upstream connections. Called from the event loop, never from within connect().
 class UpstreamConnectionObserver {
 public:
     UpstreamConnectionObserver() = default;
@@ -25,45 +25,45 @@
     UpstreamConnectionObserver& operator=(const UpstreamConnectionObserver&) = delete;
     virtual ~UpstreamConnectionObserver() = default;
 
-    // The connection is up, and the attempt can be written on it.
+    // The connection is established, and the attempt can be written to it.
     virtual void onConnected(AttemptId attempt) = 0;
 
-    // A complete response came. `isReusable`: the connection may carry another attempt. If not, it is closed
-    // after this call.
+    // A complete response was received. `isReusable`: the connection can carry another attempt; if false, it
+    // is closed after this call.
     virtual void onResponse(AttemptId attempt, AttemptResult&& result, bool isReusable) = 0;
 
-    // The connection failed or ended, or a malformed response came on it. It is closed. Its attempt is still
-    // assigned, or AttemptId::none if it was idle.
+    // The connection failed, was closed by the endpoint or received a malformed response. It is closed.
+    // connection->attempt() returns the attempt that it carried, or AttemptId::none if it was idle.
     virtual void onBroken(const std::shared_ptr<UpstreamConnection>& connection) = 0;
 
-    // Bytes came while the connection was idle. It is still open.
+    // Bytes were received while the connection was idle. It is still open.
     virtual void onUnexpectedInput(const std::shared_ptr<UpstreamConnection>& connection) = 0;
 };
 
 class UpstreamConnection final : public TcpConnection {
 public:
-    // `observer` and `timers` must outlive the connection's being open. `openConnections` is incremented for
-    // the lifetime of this object.
+    // `observer` and `timers` must outlive the connection while it is open. `openConnections` counts the
+    // objects of this class: the constructor increments it and the destructor decrements it.
     UpstreamConnection(boost::asio::io_context& ioContext, UpstreamConnectionObserver& observer,
                        TimerQueue& timers, std::shared_ptr<std::size_t> openConnections);
     ~UpstreamConnection() override;
     UpstreamConnection(const UpstreamConnection&) = delete;
     UpstreamConnection& operator=(const UpstreamConnection&) = delete;
 
-    // Assigns the connection to an attempt until its response is complete. Precondition: no attempt is
-    // assigned.
+    // Assigns the connection to an attempt until the response is complete. Precondition: the connection has
+    // no attempt.
     void assign(AttemptId attempt);
     AttemptId attempt() const { return attempt_; }
 
-    // Writes the request of the assigned attempt, once. `timeout` is sent to the endpoint, as 1 ms at least.
-    // Precondition: the connection is open.
+    // Writes the request of the assigned attempt. `timeout` is sent to the endpoint, and is at least 1 ms
+    // there. Preconditions: the connection is open, and write() was not called for this attempt before.
     void write(const ForwardedRequest& request, std::chrono::milliseconds timeout);
 
-    // Whether the last byte of the attempt's request was handed to the kernel. If so, the endpoint may run
+    // Returns whether the whole request of the attempt was passed to the kernel, so that the endpoint may run
     // it.
     bool isRequestWritten() const { return written() > writtenBefore_ && allWritten(); }
 
-    // Whether it carried an attempt before this one.
+    // Returns whether the connection carried another attempt before the present one.
     bool isReused() const { return writtenBefore_ > 0; }
 
 private:
@@ -85,13 +85,13 @@
 
     UpstreamConnectionObserver& observer_;
     TimerQueue& timers_;
-    std::shared_ptr<std::size_t> openConnections_;  // may outlive its owner in the loop's last handlers
+    std::shared_ptr<std::size_t> openConnections_;  // shared, as pending handlers can outlive the runner
     AttemptId attempt_ = AttemptId::none;
-    std::uint64_t writtenBefore_ = 0;              // bytes, before the attempt's request
-    std::uint64_t responseNumber_ = 0;             // of the response in hand
-    std::uint64_t timeLimitedResponseNumber_ = 0;  // of the latest response whose remainder has a time limit
-    int interimResponses_ = 0;                     // ahead of the response in hand
-    std::optional<Parser> parser_;                 // empty while the connection is idle
+    std::uint64_t writtenBefore_ = 0;              // written() at the start of the attempt's request
+    std::uint64_t responseNumber_ = 0;             // of the current response
+    std::uint64_t timeLimitedResponseNumber_ = 0;  // of the latest response with a time limit
+    int interimResponses_ = 0;                     // before the current response
+    std::optional<Parser> parser_;                 // empty while no attempt is assigned
 };
 
 }  // namespace gateway::net
--- a/src/net/upstream/upstream_endpoint.h
+++ b/src/net/upstream/upstream_endpoint.h
@@ -1,4 +1,4 @@
-// One endpoint as discovery lists it: its address, and whether it is draining.
+// The state of one endpoint that discovery lists: its address, and whether it is draining.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -9,8 +9,8 @@
 
 namespace gateway::net {
 
-// Shared by the endpoint table and the attempts on the endpoint, which may outlast its listing. An endpoint
-// that was removed stays draining for good: one that is listed again under its name is a new object.
+// Shared by the endpoint table and the attempts on the endpoint, which may go on after discovery has removed
+// it. A removed endpoint stays draining: if discovery lists its name again, the table creates a new object.
 class UpstreamEndpoint {
 public:
     explicit UpstreamEndpoint(EndpointId id) : id_(std::move(id)) {}
@@ -18,26 +18,26 @@
     const EndpointId& id() const { return id_; }
     const boost::asio::ip::tcp::endpoint& address() const { return address_; }
 
-    // Whether discovery lists another process than before: one that was restarted or has another address.
+    // Returns whether `listed` is another process: its start time or its address differs.
     bool isReplacedBy(const ResolvedEndpoint& listed) const;
 
-    // Takes over the start time, and the address if `listed` has one. Does not change whether it is draining.
+    // Copies the start time, and the address if `listed` has one. Does not change the draining state.
     void update(const ResolvedEndpoint& listed);
 
     void stopDraining() { drainingSince_ = kNotDraining; }
 
-    // Has no effect on an endpoint that is draining.
+    // Has no effect if the endpoint is already draining.
     void startDraining(SteadyTimePoint now);
 
     bool isDraining() const { return drainingSince_ != kNotDraining; }
 
-    // Whether an attempt may be sent at `now`. A draining endpoint is sent attempts for `drainGracePeriod`
-    // only, counted up to an attempt's first byte.
+    // Returns whether sending an attempt may begin at `now`. A draining endpoint accepts attempts for
+    // `drainGracePeriod` after it started draining.
     bool acceptsAttempts(SteadyTimePoint now, Duration drainGracePeriod) const;
 
     void noteResponse(SteadyTimePoint now) { lastResponseAt_ = now; }
 
-    // When the latest complete response came; the clock's epoch if none has.
+    // When the latest complete response was received; the clock's epoch if none was.
     SteadyTimePoint lastResponseAt() const { return lastResponseAt_; }
 
 private:
--- a/src/net/upstream/upstream_endpoint_table.cpp
+++ b/src/net/upstream/upstream_endpoint_table.cpp
@@ -37,7 +37,7 @@
     }
     std::shared_ptr<UpstreamEndpoint>& endpoint = endpoints_[entry.endpoint];
     if (!endpoint) endpoint = std::make_shared<UpstreamEndpoint>(entry.endpoint);
-    // A process that was restarted knows nothing of its predecessor's connections.
+    // A restarted process has lost the connections of the previous one.
     if (endpoint->isReplacedBy(listed)) closeIdleConnections_(*endpoint);
     if (entry.availability == Availability::up)
         endpoint->stopDraining();
@@ -46,7 +46,7 @@
     endpoint->update(listed);
 }
 
-// Attempts on the endpoint hold it until they end.
+// The attempts on the endpoint keep its object until they end.
 void UpstreamEndpointTable::remove(const EndpointId& id) {
     const auto found = endpoints_.find(id);
     if (found == endpoints_.end()) return;
--- a/src/net/upstream/upstream_endpoint_table.h
+++ b/src/net/upstream/upstream_endpoint_table.h
@@ -1,4 +1,4 @@
-// The endpoints that discovery lists now.
+// The endpoints that discovery currently lists.
 #pragma once
 
 #include <functional>
@@ -10,15 +10,15 @@
 
 namespace gateway::net {
 
-// Applies discovery's lists. Reports each endpoint whose idle connections must not be used again: one that is
-// draining, was removed, or is another process than before.
+// Applies discovery's endpoint lists. Calls CloseIdleConnections for each endpoint whose idle connections
+// must not be used again, because the endpoint is draining, was removed, or is another process than before.
 class UpstreamEndpointTable {
 public:
     using CloseIdleConnections = std::function<void(const UpstreamEndpoint&)>;
 
     explicit UpstreamEndpointTable(CloseIdleConnections closeIdleConnections);
 
-    // Applies a snapshot or the changes since the list before. An endpoint that a snapshot lacks was removed.
+    // Applies a snapshot or a delta. Removes the endpoints that a snapshot does not list.
     void update(const EndpointList& list);
 
     // Returns null if the endpoint is not listed.
--- a/src/net/upstream/upstream_pool.h
+++ b/src/net/upstream/upstream_pool.h
@@ -1,5 +1,4 @@
-// The gateway's side towards its endpoints: which there are, the connections to them and the attempts on
-// them.
+// The endpoints of the gateway, the connections to them and the attempts on them.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -19,34 +18,37 @@
 class UpstreamPool {
 public:
     struct Limits {
-        std::size_t connections = 256;          // max, over all endpoints
-        Duration connectTimeout{};              // 0: the attempt's timeout alone limits connecting
-        Duration keepAlive{};                   // after which endpoints close an idle connection
-        Duration drainGracePeriod{};            // during which a draining endpoint is sent attempts
-        Duration reuseDelay{};                  // cool-down of a connection after a response
-        ReclaimDescriptor reclaimDescriptor{};  // for when the process has no descriptor left
+        std::size_t connections = 256;          // over all endpoints
+        Duration connectTimeout{};              // 0: only the attempt's timeout applies
+        Duration keepAlive{};                   // endpoints close connections that were idle this long
+        Duration drainGracePeriod{};            // during which attempts are sent to a draining endpoint
+        Duration reuseDelay{};                  // before a connection is used again after a response
+        ReclaimDescriptor reclaimDescriptor{};  // called if the process has no file descriptor left
     };
     using Hooks = AttemptRunner::Hooks;
     using AttemptOptions = AttemptRunner::Options;
 
-    // `ioContext` and `timers` must outlive the pool, and the pool every handler that `ioContext` runs.
+    // `ioContext` and `timers` must outlive the pool. `ioContext` must not run a handler after the pool is
+    // destroyed.
     UpstreamPool(boost::asio::io_context& ioContext, TimerQueue& timers, const Limits& limits, Hooks hooks);
     UpstreamPool(const UpstreamPool&) = delete;
     UpstreamPool& operator=(const UpstreamPool&) = delete;
     ~UpstreamPool() = default;
 
-    // Applies a list of discovery's. Attempts in flight go on, even on an endpoint that was removed.
+    // Applies an endpoint list of discovery. Attempts in flight continue, even on an endpoint that was
+    // removed.
     void update(const EndpointList& list);
 
-    // Starts an attempt, as AttemptRunner::start() does. It ends at once as Outcome::notSent if the endpoint
-    // is not listed.
+    // Starts an attempt: see AttemptRunner::start(). The attempt ends at once as Outcome::notSent if the
+    // endpoint is not listed.
     void start(AttemptId id, const EndpointId& endpoint, const AttemptOptions& options,
                std::shared_ptr<const ForwardedRequest> request);
 
-    // Cancels an attempt. Has no effect on one that has ended.
+    // Cancels an attempt. Has no effect if the attempt has ended.
     void cancel(AttemptId id);
 
-    // Cancels an attempt if its last byte has not been sent, as while its connection is being established.
+    // Cancels an attempt if its request has not been sent completely, for example while the connection is
+    // being established.
     void cancelUnsent(AttemptId id);
 
     // Closes the connection that has been idle longest. Returns false if there is none.
--- a/src/net/upstream/upstream_response.cpp
+++ b/src/net/upstream/upstream_response.cpp
@@ -15,9 +15,10 @@
 
 namespace {
 
-constexpr double kMaxNumber = 1e6;  // a larger one counts as not reported
+constexpr double kMaxNumber = 1e6;  // larger numbers are treated as not reported
 
-// Returns the finite decimal number from 0 to kMaxNumber that `text` consists of, or nothing.
+// Parses a decimal number from 0 to kMaxNumber. Trailing spaces are allowed. Returns nothing for any other
+// text.
 std::optional<double> parseNumber(string_view text) {
     while (!text.empty() && text.back() == ' ') text.remove_suffix(1);
     double value = 0;
@@ -28,8 +29,8 @@
     return value;
 }
 
-// Parses the header Server-Load, for example "inflight=7,queue=2". The attempts in flight come as "rif" or
-// "inflight". Other items are ignored.
+// Parses the header Server-Load, for example "inflight=7,queue=2". The number of requests in flight is the
+// item "rif" or "inflight". Other items are ignored.
 std::optional<LoadReport> parseLoadReport(string_view text) {
     std::optional<LoadReport> report;
     while (!text.empty()) {
@@ -46,7 +47,7 @@
     return report;
 }
 
-// An endpoint that has not started the request sends "Not-Started: 1" on a 503 or 504.
+// An endpoint that did not start the request sends "Not-Started: 1" with status 503 or 504.
 Outcome outcomeOf(const HttpResponse& message) {
     const http::status status = message.result();
     if (status == http::status::ok) return Outcome::ok;
