--- a/tests/net/transport/backoff_spread_test.cpp
+++ b/tests/net/transport/backoff_spread_test.cpp
@@ -8,16 +8,16 @@
 namespace gateway::net::test {
 namespace {
 
-TEST(BackoffSpreadTest, SpreadsWaitsEvenlyUpToBoundThatDoublesUntilReset) {
+TEST(BackoffSpreadTest, DistributesWaitsEvenlyUpToBoundThatDoublesUntilReset) {
     constexpr int kBackoffs = 400;
-    constexpr int kTenths = 10;
-    constexpr int kMaxPerTenth = 2 * kBackoffs / kTenths;  // twice as many as in an even spread
+    constexpr int kBuckets = 10;
+    constexpr int kMaxPerBucket = 2 * kBackoffs / kBuckets;  // twice the expected number
     const Duration initial = std::chrono::seconds(5);
     const Duration maximum = std::chrono::seconds(10);
-    std::vector<int> firstWaits(kTenths);
-    std::vector<int> thirdWaits(kTenths);
-    const auto tenthOf = [&](Duration wait, Duration bound) {
-        return static_cast<std::size_t>((wait - Duration(1)) * kTenths / bound);
+    std::vector<int> firstWaits(kBuckets);
+    std::vector<int> thirdWaits(kBuckets);
+    const auto bucketOf = [&](Duration wait, Duration bound) {
+        return static_cast<std::size_t>((wait - Duration(1)) * kBuckets / bound);
     };
     for (std::uint64_t seed = 1; seed <= kBackoffs; ++seed) {
         Backoff backoff(initial, maximum, seed);
@@ -26,13 +26,13 @@
         const Duration third = backoff.next();
         EXPECT_LE(first, initial);
         EXPECT_LE(std::max(second, third), maximum);
-        ++firstWaits[tenthOf(first, initial)];
-        ++thirdWaits[tenthOf(third, maximum)];
+        ++firstWaits[bucketOf(first, initial)];
+        ++thirdWaits[bucketOf(third, maximum)];
         backoff.reset();
         EXPECT_LE(backoff.next(), initial);
     }
-    for (const int waits : firstWaits) EXPECT_LT(waits, kMaxPerTenth);
-    for (const int waits : thirdWaits) EXPECT_LT(waits, kMaxPerTenth);
+    for (const int waits : firstWaits) EXPECT_LT(waits, kMaxPerBucket);
+    for (const int waits : thirdWaits) EXPECT_LT(waits, kMaxPerBucket);
 }
 
 }  // namespace
--- a/tests/net/transport/backoff_test.cpp
+++ b/tests/net/transport/backoff_test.cpp
@@ -15,7 +15,7 @@
     static constexpr Duration kMaxBound = milliseconds(200);
     static constexpr int kDraws = 1000;
 
-    // The longest of many waits after `growthSteps` earlier ones.
+    // Returns the longest of many waits that are each drawn after `growthSteps` earlier ones.
     static Duration longestWaitAfter(int growthSteps) {
         Duration longest{};
         for (int seed = 0; seed < kDraws; ++seed) {
@@ -53,7 +53,7 @@
     }
 }
 
-TEST_F(BackoffTest, DrawWithinBoundDoesNotGrow) {
+TEST_F(BackoffTest, DrawUpToBoundDoesNotChangeBoundOfNext) {
     for (int i = 0; i < kDraws; ++i) {
         const Duration wait = backoff.within(Duration(3));
         EXPECT_GE(wait, Duration(1));
--- a/tests/net/transport/loopback_fixture.h
+++ b/tests/net/transport/loopback_fixture.h
@@ -1,4 +1,5 @@
-// A loopback peer, played by the test, and an event loop that runs until a condition holds.
+// A test fixture with an event loop and a loopback listener, with which a test acts as the peer of a
+// connection.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -23,14 +24,14 @@
 protected:
     tcp::endpoint address() const { return acceptor.local_endpoint(); }
 
-    // Accepts one connection. Blocks until one has been started.
+    // Accepts one connection. Blocks until a connection is established.
     tcp::socket accept() { return acceptor.accept(); }
 
     static void write(tcp::socket& peer, std::string_view bytes) {
         boost::asio::write(peer, boost::asio::buffer(bytes));
     }
 
-    // Runs the event loop until bytes have come at the peer, and returns them.
+    // Runs the event loop until `peer` has received bytes, and returns them.
     std::string receive(tcp::socket& peer) {
         runUntil([&] { return peer.available() > 0; });
         std::string bytes(peer.available(), '\0');
@@ -38,7 +39,8 @@
         return bytes;
     }
 
-    // Runs the event loop until the connection under test is closed, and returns whether no byte came before.
+    // Runs the event loop until `peer` receives the close of the connection or a byte. Returns whether it
+    // was the close.
     bool isClosedWithoutBytes(tcp::socket& peer) {
         peer.non_blocking(true);
         boost::system::error_code ec;
@@ -51,7 +53,7 @@
         return size == 0;
     }
 
-    // Runs the event loop until `isDone`. Fails the test if that takes too long.
+    // Runs the event loop until `isDone` returns true. Fails the test if that takes too long.
     void runUntil(const std::function<bool()>& isDone) {
         const SteadyTimePoint deadline = std::chrono::steady_clock::now() + std::chrono::seconds(20);
         while (!isDone()) {
--- a/tests/net/transport/tcp_connection_test.cpp
+++ b/tests/net/transport/tcp_connection_test.cpp
@@ -17,7 +17,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Records what happens on it.
+// Records the calls of its virtual functions.
 class RecordingConnection final : public TcpConnection {
 public:
     explicit RecordingConnection(boost::asio::io_context& ioContext) : TcpConnection(ioContext) {}
@@ -66,7 +66,7 @@
     tcp::socket peer{ioContext};
 };
 
-TEST_F(TcpConnectionTest, ReportsConnectionOnceItIsUp) {
+TEST_F(TcpConnectionTest, ReportsEstablishedConnection) {
     connect();
     EXPECT_TRUE(connection->calls.empty());
     EXPECT_FALSE(connection->isOpen());
@@ -105,7 +105,7 @@
     EXPECT_FALSE(connection->isQuiet());
 }
 
-TEST_F(TcpConnectionTest, FindsBytesAndEndThatAreNotReadYet) {
+TEST_F(TcpConnectionTest, DetectsBytesAndCloseThatAreNotReadYet) {
     connectAndAccept();
     write(peer, "x");
     while (!connection->hasInput()) {
@@ -118,7 +118,7 @@
     EXPECT_EQ(connection->received(), "");
 }
 
-TEST_F(TcpConnectionTest, ReportsInputBeforePeersEnd) {
+TEST_F(TcpConnectionTest, ReportsInputBeforeClose) {
     connectAndAccept();
     write(peer, "x");
     peer.close();
@@ -126,7 +126,7 @@
     EXPECT_EQ(connection->calls, (Calls{"received", "closed"}));
 }
 
-TEST_F(TcpConnectionTest, DiscardsInputButReportsPeersEnd) {
+TEST_F(TcpConnectionTest, DiscardsInputButReportsClose) {
     connectAndAccept();
     connection->discardInput();
     EXPECT_TRUE(connection->dropsInput());
@@ -136,7 +136,7 @@
     EXPECT_EQ(connection->calls, (Calls{"closed"}));
 }
 
-TEST_F(TcpConnectionTest, KeepsEarlierInputWhenItDropsFurtherInput) {
+TEST_F(TcpConnectionTest, KeepsEarlierInputWhenDiscardingFurtherInput) {
     connectAndAccept();
     write(peer, "kept");
     runUntil([&] { return !connection->calls.empty(); });
@@ -158,9 +158,9 @@
     EXPECT_EQ(receive(peer), "ab");
 }
 
-TEST_F(TcpConnectionTest, ReportsWhenOutputThatHadToWaitIsWritten) {
+TEST_F(TcpConnectionTest, ReportsWhenDelayedOutputIsWritten) {
     connectAndAccept();
-    const std::string output(std::size_t{32} * 1024 * 1024, 'x');  // more than the sockets' buffers hold
+    const std::string output(std::size_t{32} * 1024 * 1024, 'x');  // more than the socket buffers can hold
     connection->send(output);
     EXPECT_FALSE(connection->allWritten());
     std::size_t receivedBytes = 0;
--- a/tests/net/transport/timer_exception_test.cpp
+++ b/tests/net/transport/timer_exception_test.cpp
@@ -8,7 +8,7 @@
 namespace gateway::net::test {
 namespace {
 
-// Runs the loop as the process does: an exception does not end it.
+// Runs the event loop as the gateway does: an exception of a handler does not stop it.
 void runLoop(boost::asio::io_context& loop) {
     for (bool ended = false; !ended;) {
         try {
--- a/tests/net/transport/timer_queue_test.cpp
+++ b/tests/net/transport/timer_queue_test.cpp
@@ -24,7 +24,7 @@
     std::vector<int> fired;
 };
 
-TEST_F(TimerQueueTest, FiresInOrderOfTimeAndThenOfSetting) {
+TEST_F(TimerQueueTest, FiresInOrderOfDueTimeAndThenOfScheduling) {
     set(milliseconds(30), 3);
     set(milliseconds(10), 1);
     set(milliseconds(10), 2);
@@ -40,7 +40,7 @@
     EXPECT_GE(steady_clock::now() - setAt, milliseconds(15));
 }
 
-TEST_F(TimerQueueTest, FiresEarlierTimerThatIsSetAfterLaterOne) {
+TEST_F(TimerQueueTest, FiresEarlierTimerThatIsScheduledAfterLaterOne) {
     set(std::chrono::hours(1), 2);
     set(milliseconds(5), 1);
     const SteadyTimePoint deadline = steady_clock::now() + std::chrono::seconds(20);
@@ -74,7 +74,7 @@
     EXPECT_EQ(fired, (std::vector<int>{1, 2}));
 }
 
-TEST_F(TimerQueueTest, TimerMaySetAndCancelTimers) {
+TEST_F(TimerQueueTest, CallbackMayScheduleAndCancelTimers) {
     const TimerQueue::Token later = set(milliseconds(20), 9);
     timers.after(Duration::zero(), [this, later] {
         fired.push_back(1);
