--- a/tests/net/upstream/attempt_runner_fixture.h
+++ b/tests/net/upstream/attempt_runner_fixture.h
@@ -1,4 +1,4 @@
-// One AttemptRunner with one endpoint, whose peers a test accepts on a loopback socket.
+// A test fixture with an AttemptRunner and one endpoint. The test acts as the endpoint on a loopback socket.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -55,7 +55,8 @@
         return id;
     }
 
-    // Starts an attempt on a new connection and returns its peer once the request has come.
+    // Starts an attempt on a new connection, and returns the endpoint's socket after it has received the
+    // request.
     tcp::socket startAndReceive() {
         start();
         tcp::socket peer = accept();
--- a/tests/net/upstream/attempt_runner_reuse_test.cpp
+++ b/tests/net/upstream/attempt_runner_reuse_test.cpp
@@ -1,4 +1,4 @@
-// Idle connections as attempts use, evict and close them.
+// Tests how attempts reuse, evict and close idle connections.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -24,7 +24,7 @@
     EXPECT_EQ(receive(peer).find("GET /path HTTP/1.1\r\n"), 0U);
 }
 
-TEST_F(AttemptRunnerTest, EvictsIdleConnectionOfAnotherEndpointForNewOne) {
+TEST_F(AttemptRunnerTest, EvictsIdleConnectionOfOtherEndpointAtConnectionLimit) {
     limits.connections = 1;
     makeRunner();
     tcp::socket peer = startAndReceive();
@@ -47,7 +47,7 @@
     EXPECT_TRUE(isClosedWithoutBytes(peer));
 }
 
-TEST_F(AttemptRunnerTest, ClosesIdleConnectionWhenUnexpectedBytesCome) {
+TEST_F(AttemptRunnerTest, ClosesIdleConnectionThatReceivesBytes) {
     tcp::socket peer = startAndReceive();
     respond(peer);
     write(peer, kResponse);
@@ -55,7 +55,7 @@
     EXPECT_EQ(idle.take(*endpoint), nullptr);
 }
 
-TEST_F(AttemptRunnerTest, KeepsIdleConnectionsWhenResponseCameDuringTimedOutAttempt) {
+TEST_F(AttemptRunnerTest, KeepsIdleConnectionsAfterTimeoutIfEndpointHasResponded) {
     options.timeout = milliseconds(200);
     const tcp::socket timedOut = startAndReceive();
     options.timeout = seconds(20);
@@ -66,7 +66,7 @@
     EXPECT_NE(idle.take(*endpoint), nullptr);
 }
 
-TEST_F(AttemptRunnerTest, ClosesIdleConnectionsWhenNoResponseComesDuringTimedOutAttempt) {
+TEST_F(AttemptRunnerTest, ClosesIdleConnectionsAfterTimeoutWithoutAnyResponse) {
     tcp::socket first = startAndReceive();
     tcp::socket second = startAndReceive();
     respond(first);
--- a/tests/net/upstream/attempt_runner_test.cpp
+++ b/tests/net/upstream/attempt_runner_test.cpp
@@ -76,7 +76,7 @@
     EXPECT_NE(sent.find("\r\nIdempotency-Key: key\r\nContent-Length: 4\r\n\r\nbody"), std::string::npos);
 }
 
-TEST_F(AttemptRunnerTest, PassesOverInterimResponses) {
+TEST_F(AttemptRunnerTest, SkipsInterimResponses) {
     tcp::socket peer = startAndReceive();
     respond(peer, "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi");
     EXPECT_EQ(ended[0].result.outcome, Outcome::ok);
@@ -89,7 +89,7 @@
     EXPECT_EQ(ended[0].result.outcome, Outcome::reset);
 }
 
-TEST_F(AttemptRunnerTest, EndsAsResetOnUnterminatedResponse) {
+TEST_F(AttemptRunnerTest, EndsAsResetOnResponseThatIsNeverCompleted) {
     tcp::socket peer = startAndReceive();
     respond(peer, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nh");
     EXPECT_EQ(ended[0].result.outcome, Outcome::reset);
@@ -115,7 +115,7 @@
 
 // ---- Between connecting and sending ---------------------------------------------------------------
 
-TEST_F(AttemptRunnerTest, DoesNotSendUnwantedAttempt) {
+TEST_F(AttemptRunnerTest, DoesNotSendAttemptThatHookRefuses) {
     isWanted = false;
     start();
     tcp::socket peer = accept();
--- a/tests/net/upstream/idle_connection_pool_test.cpp
+++ b/tests/net/upstream/idle_connection_pool_test.cpp
@@ -37,7 +37,7 @@
         pool.emplace(timers, limits);
     }
 
-    // Connects to the test's endpoint. `peers` has the other ends in the order of the connections.
+    // Opens a connection to the loopback listener, and appends the endpoint's socket to `peers`.
     ConnectionPtr connect() {
         auto connection = std::make_shared<UpstreamConnection>(ioContext, observer, timers, openConnections);
         connection->connect(address(), timers, seconds(20));
@@ -77,7 +77,7 @@
     EXPECT_TRUE(older->isOpen());
 }
 
-TEST_F(IdleConnectionPoolTest, PassesOverConnectionInCooldown) {
+TEST_F(IdleConnectionPoolTest, SkipsConnectionInCooldown) {
     makePool(kKeepAlive, seconds(10));
     const ConnectionPtr ready = addIdleFor(seconds(15), endpoint);
     const ConnectionPtr coolingDown = addIdleFor(Duration::zero(), endpoint);
@@ -86,7 +86,7 @@
     EXPECT_TRUE(coolingDown->isOpen());
 }
 
-TEST_F(IdleConnectionPoolTest, ClosesConnectionOnWhichBytesCame) {
+TEST_F(IdleConnectionPoolTest, ClosesConnectionThatReceivedBytes) {
     makePool(kKeepAlive, Duration::zero());
     const ConnectionPtr connection = addIdleFor(kCooldown, endpoint);
     write(peers[0], "x");
@@ -96,7 +96,7 @@
     EXPECT_FALSE(connection->isOpen());
 }
 
-TEST_F(IdleConnectionPoolTest, ClosesConnectionThatItsEndpointClosed) {
+TEST_F(IdleConnectionPoolTest, ClosesConnectionThatEndpointHasClosed) {
     makePool(kKeepAlive, Duration::zero());
     const ConnectionPtr usable = addIdleFor(seconds(2), endpoint);
     const ConnectionPtr closed = addIdleFor(kCooldown, endpoint);
@@ -114,7 +114,7 @@
     EXPECT_FALSE(connection->isOpen());
 }
 
-TEST_F(IdleConnectionPoolTest, ClosesConnectionsPastHalfOfKeepAliveByItself) {
+TEST_F(IdleConnectionPoolTest, ClosesIdleConnectionAfterHalfOfKeepAlive) {
     makePool(milliseconds(400), Duration::zero());
     const ConnectionPtr connection = addIdleFor(Duration::zero(), endpoint);
     const SteadyTimePoint addedAt = std::chrono::steady_clock::now();
@@ -155,7 +155,7 @@
     EXPECT_EQ(pool->take(endpoint), kept);
 }
 
-TEST_F(IdleConnectionPoolTest, ConnectionCountsAsOpenWhileItLives) {
+TEST_F(IdleConnectionPoolTest, CountsConnectionAsOpenUntilItIsDestroyed) {
     makePool(kKeepAlive, Duration::zero());
     ConnectionPtr connection = connect();
     EXPECT_EQ(*openConnections, 1U);
--- a/tests/net/upstream/upstream_endpoint_table_test.cpp
+++ b/tests/net/upstream/upstream_endpoint_table_test.cpp
@@ -33,9 +33,9 @@
         return table.find(EndpointId{name});
     }
 
-    std::vector<std::string> closedIdle;  // endpoints whose idle connections were to be closed
+    std::vector<std::string> closedEndpoints;  // whose idle connections were closed, in order
     UpstreamEndpointTable table{
-        [this](const UpstreamEndpoint& endpoint) { closedIdle.push_back(endpoint.id().value()); }};
+        [this](const UpstreamEndpoint& endpoint) { closedEndpoints.push_back(endpoint.id().value()); }};
 };
 
 TEST_F(UpstreamEndpointTableTest, FindsListedEndpointsOnly) {
@@ -55,7 +55,7 @@
     EXPECT_TRUE(find("b"));
 }
 
-TEST_F(UpstreamEndpointTableTest, RemovedEndpointIsDrainingForThoseWhoHoldIt) {
+TEST_F(UpstreamEndpointTableTest, ObjectOfRemovedEndpointStaysDraining) {
     update({listed("a")});
     const auto endpoint = find("a");
     update({listed("a", Availability::removed)});
@@ -67,7 +67,7 @@
     EXPECT_FALSE(find("a")->isDraining());
 }
 
-TEST_F(UpstreamEndpointTableTest, DrainingEndpointStaysListedAndMayComeBack) {
+TEST_F(UpstreamEndpointTableTest, DrainingEndpointStaysListedAndCanStopDraining) {
     update({listed("a")});
     const auto endpoint = find("a");
     update({listed("a", Availability::draining)});
@@ -80,26 +80,26 @@
 
 TEST_F(UpstreamEndpointTableTest, ClosesIdleConnectionsOfDrainingOrRemovedEndpoint) {
     update({listed("a"), listed("b"), listed("c")}, true);
-    closedIdle.clear();
+    closedEndpoints.clear();
     update({listed("a", Availability::draining), listed("b", Availability::removed)});
-    EXPECT_EQ(closedIdle, (std::vector<std::string>{"a", "b"}));
-    closedIdle.clear();
+    EXPECT_EQ(closedEndpoints, (std::vector<std::string>{"a", "b"}));
+    closedEndpoints.clear();
     update({listed("a", Availability::draining)}, true);
-    EXPECT_EQ(closedIdle, (std::vector<std::string>{"c", "a"}));
+    EXPECT_EQ(closedEndpoints, (std::vector<std::string>{"c", "a"}));
 }
 
 TEST_F(UpstreamEndpointTableTest, ClosesIdleConnectionsOfRestartedOrMovedEndpoint) {
     update({listed("a")});
-    closedIdle.clear();
+    closedEndpoints.clear();
     update({listed("a")});
-    EXPECT_TRUE(closedIdle.empty());
+    EXPECT_TRUE(closedEndpoints.empty());
     ResolvedEndpoint restarted = listed("a");
     restarted.entry.startedAt = TimePoint(std::chrono::seconds(5));
     update({restarted});
-    EXPECT_EQ(closedIdle, (std::vector<std::string>{"a"}));
+    EXPECT_EQ(closedEndpoints, (std::vector<std::string>{"a"}));
     restarted.address.port(kPort + 1);
     update({restarted});
-    EXPECT_EQ(closedIdle, (std::vector<std::string>{"a", "a"}));
+    EXPECT_EQ(closedEndpoints, (std::vector<std::string>{"a", "a"}));
     EXPECT_EQ(find("a")->address().port(), kPort + 1);
 }
 
--- a/tests/net/upstream/upstream_response_test.cpp
+++ b/tests/net/upstream/upstream_response_test.cpp
@@ -36,7 +36,7 @@
     EXPECT_EQ(result.body, "content");
 }
 
-TEST_F(UpstreamResponseTest, ReadsLoadButNoCostAndBodyOfError) {
+TEST_F(UpstreamResponseTest, ReadsLoadButNeitherCostNorBodyOfError) {
     response.set("Server-Load", "rif=4");
     response.set("X-Settled", "3");
     response.body() = "content";
@@ -48,7 +48,7 @@
     EXPECT_EQ(result.body, "");
 }
 
-TEST_F(UpstreamResponseTest, TreatsOtherSuccessStatusesAsErrors) {
+TEST_F(UpstreamResponseTest, TreatsStatusesOtherThan200AsErrors) {
     EXPECT_EQ(resultOf(http::status::no_content).outcome, Outcome::error);
     EXPECT_EQ(resultOf(http::status::found).outcome, Outcome::error);
 }
@@ -74,7 +74,7 @@
 class UpstreamResponseNumberTest : public UpstreamResponseTest,
                                    public ::testing::WithParamInterface<const char*> {};
 
-TEST_P(UpstreamResponseNumberTest, CountsMalformedOrOutOfRangeNumberAsNotReported) {
+TEST_P(UpstreamResponseNumberTest, TreatsMalformedOrOutOfRangeNumberAsNotReported) {
     response.set("X-Meter", GetParam());
     response.set("X-Settled", GetParam());
     response.set("Server-Load", std::string("inflight=") + GetParam());
