--- a/tests/net/server/event_loop_dispatcher_test.cpp
+++ b/tests/net/server/event_loop_dispatcher_test.cpp
@@ -11,7 +11,7 @@
 namespace gateway::net {
 namespace {
 
-// Events are timers and actions are timers that the handler of an event sets; the journal has them in order.
+// Uses TimerFired as the event and SetTimer as the action. `calls` records the handlers' calls in order.
 class EventLoopDispatcherTest : public ::testing::Test {
 protected:
     static std::string idOf(TimerId timer) { return std::to_string(static_cast<std::uint64_t>(timer)); }
@@ -20,7 +20,7 @@
         EventLoopDispatcher::Handlers result;
         result.handleEvent = [this](const Event& event, Actions& actions) {
             const TimerId timer = std::get<TimerFired>(event).timer;
-            journal.push_back("event " + idOf(timer));
+            calls.push_back("event " + idOf(timer));
             EXPECT_TRUE(dispatcher.isDispatching());
             for (const TimerId action : actionsOfEvent) actions.emplace_back(SetTimer{action, {}});
             actionsOfEvent.clear();
@@ -28,11 +28,11 @@
         };
         result.executeAction = [this](const Action& action) {
             const TimerId timer = std::get<SetTimer>(action).timer;
-            journal.push_back("action " + idOf(timer));
+            calls.push_back("action " + idOf(timer));
             for (const TimerId event : std::exchange(eventsOfAction, {})) dispatch(event);
         };
         result.onQueueEmpty = [this] {
-            journal.emplace_back("queue empty");
+            calls.emplace_back("queue empty");
             EXPECT_FALSE(dispatcher.isDispatching());
             for (const TimerId event : std::exchange(eventsOfEmptyQueue, {})) dispatch(event);
         };
@@ -43,39 +43,39 @@
 
     static constexpr TimerId kThrowingEvent{99};
 
-    std::vector<std::string> journal;
-    std::vector<TimerId> actionsOfEvent;      // that the next event causes
-    std::vector<TimerId> eventsOfAction;      // that the next action causes
-    std::vector<TimerId> eventsOfEmptyQueue;  // that the next empty queue causes
+    std::vector<std::string> calls;
+    std::vector<TimerId> actionsOfEvent;      // returned by the handler of the next event
+    std::vector<TimerId> eventsOfAction;      // dispatched by the next action
+    std::vector<TimerId> eventsOfEmptyQueue;  // dispatched by the next call of onQueueEmpty
     EventLoopDispatcher dispatcher{handlers()};
 };
 
 TEST_F(EventLoopDispatcherTest, ExecutesActionsInOrderBeforeReturning) {
     actionsOfEvent = {TimerId{7}, TimerId{8}};
     dispatch(TimerId{1});
-    EXPECT_EQ(journal, (std::vector<std::string>{"event 1", "action 7", "action 8", "queue empty"}));
+    EXPECT_EQ(calls, (std::vector<std::string>{"event 1", "action 7", "action 8", "queue empty"}));
     EXPECT_FALSE(dispatcher.isDispatching());
 }
 
-TEST_F(EventLoopDispatcherTest, QueuesEventsThatAnActionCausesBehindTheActionsInHand) {
+TEST_F(EventLoopDispatcherTest, ExecutesRemainingActionsBeforeEventsThatAnActionCauses) {
     actionsOfEvent = {TimerId{7}, TimerId{8}};
     eventsOfAction = {TimerId{2}, TimerId{3}};
     dispatch(TimerId{1});
-    EXPECT_EQ(journal, (std::vector<std::string>{"event 1", "action 7", "action 8", "event 2", "event 3",
-                                                 "queue empty"}));
+    EXPECT_EQ(calls, (std::vector<std::string>{"event 1", "action 7", "action 8", "event 2", "event 3",
+                                               "queue empty"}));
 }
 
 TEST_F(EventLoopDispatcherTest, HandlesEventDispatchedWhenQueueIsEmpty) {
     eventsOfEmptyQueue = {TimerId{2}};
     dispatch(TimerId{1});
-    EXPECT_EQ(journal, (std::vector<std::string>{"event 1", "queue empty", "event 2", "queue empty"}));
+    EXPECT_EQ(calls, (std::vector<std::string>{"event 1", "queue empty", "event 2", "queue empty"}));
 }
 
-TEST_F(EventLoopDispatcherTest, ExceptionCostsOneEventAndKeepsActionsAppendedBefore) {
+TEST_F(EventLoopDispatcherTest, ContinuesAfterExceptionWithActionsAppendedBefore) {
     actionsOfEvent = {TimerId{7}};
     eventsOfAction = {TimerId{2}};
     dispatch(kThrowingEvent);
-    EXPECT_EQ(journal, (std::vector<std::string>{"event 99", "action 7", "event 2", "queue empty"}));
+    EXPECT_EQ(calls, (std::vector<std::string>{"event 99", "action 7", "event 2", "queue empty"}));
 }
 
 }  // namespace
--- a/tests/net/server/readiness_test.cpp
+++ b/tests/net/server/readiness_test.cpp
@@ -27,7 +27,7 @@
     TimerQueue timers{ioContext};
 };
 
-TEST_F(ReadinessTest, IsNotReadyBeforeItsStart) {
+TEST_F(ReadinessTest, IsNotReadyBeforeStart) {
     const Readiness readiness = makeReadiness(kNever, kNever);
     EXPECT_FALSE(readiness.isReady());
 }
--- a/tests/net/server/request_registry_test.cpp
+++ b/tests/net/server/request_registry_test.cpp
@@ -10,7 +10,7 @@
 
 class RequestRegistryTest : public ::testing::Test {
 protected:
-    // A client that is only compared, since the registry makes no calls to it.
+    // Returns a pointer that stands for a client. It must not be dereferenced; the registry only stores it.
     static std::shared_ptr<ClientSession> makeClient() {
         const auto storage = std::make_shared<char>();
         return {storage, reinterpret_cast<ClientSession*>(storage.get())};
@@ -43,7 +43,7 @@
     EXPECT_EQ(attempt->client, client);
 }
 
-TEST_F(RequestRegistryTest, KnowsNothingOfUnregisteredRequest) {
+TEST_F(RequestRegistryTest, ReturnsNothingForUnregisteredRequest) {
     EXPECT_EQ(registry.client(kRequest), nullptr);
     EXPECT_EQ(registry.releaseClient(kRequest), nullptr);
     EXPECT_FALSE(registry.startAttempt(kRequest, kEndpoint));
