--- a/src/net/upstream/attempt_runner.cpp
+++ b/src/net/upstream/attempt_runner.cpp
@@ -63,7 +63,7 @@
 
 void AttemptRunner::onConnected(AttemptId id) {
     hooks_.beforeSend(id);
-    if (!hooks_.isWanted(id)) {
+    if (!hooks_.shouldSend(id)) {
         cancel(id);
         return;
     }
--- a/src/net/upstream/attempt_runner.h
+++ b/src/net/upstream/attempt_runner.h
@@ -35,7 +35,7 @@
         // attempt.
         std::function<void(AttemptId)> beforeSend;
         // Returns whether to send the attempt, after beforeSend. If false, it ends as Outcome::notSent.
-        std::function<bool(AttemptId)> isWanted;
+        std::function<bool(AttemptId)> shouldSend;
     };
     struct Options {
         Duration timeout{};      // for the complete response
--- a/tests/net/upstream/attempt_runner_fixture.h
+++ b/tests/net/upstream/attempt_runner_fixture.h
@@ -44,7 +44,7 @@
         hooks.beforeSend = [this](AttemptId id) {
             if (beforeSend) beforeSend(id);
         };
-        hooks.isWanted = [this](AttemptId) { return isWanted; };
+        hooks.shouldSend = [this](AttemptId) { return shouldSend; };
         runner.emplace(ioContext, timers, idle, limits, std::move(hooks));
     }
 
@@ -80,7 +80,7 @@
     IdleConnectionPool idle{timers, {std::chrono::seconds(60), Duration::zero()}};
     AttemptRunner::Limits limits;
     AttemptRunner::Options options{std::chrono::seconds(20), Duration::zero()};
-    bool isWanted = true;
+    bool shouldSend = true;
     std::function<void(AttemptId)> beforeSend;
     std::vector<Ended> ended;
     std::uint64_t lastAttempt = 0;
--- a/tests/net/upstream/attempt_runner_test.cpp
+++ b/tests/net/upstream/attempt_runner_test.cpp
@@ -116,7 +116,7 @@
 // ---- Between connecting and sending ---------------------------------------------------------------
 
 TEST_F(AttemptRunnerTest, DoesNotSendAttemptThatHookRefuses) {
-    isWanted = false;
+    shouldSend = false;
     start();
     tcp::socket peer = accept();
     EXPECT_EQ(waitForOutcome(), Outcome::notSent);
