--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -143,7 +143,7 @@
 // ---- Network events -------------------------------------------------------------------------------
 
 void GatewayServer::handleEndpointList(const EndpointList& list, UpdateKind kind) {
-    readiness_.noteEndpointList(kind, list.endpoints.empty());
+    readiness_.recordEndpointList(kind, list.endpoints.empty());
     upstreams_.update(list);
     EndpointUpdate update;
     update.kind = kind;
--- a/src/net/server/readiness.cpp
+++ b/src/net/server/readiness.cpp
@@ -2,7 +2,7 @@
 
 namespace gateway::net {
 
-void Readiness::noteEndpointList(UpdateKind kind, bool isEmpty) {
+void Readiness::recordEndpointList(UpdateKind kind, bool isEmpty) {
     if (!isEmpty || kind == UpdateKind::snapshot) hasUsableList_ = true;
     if (kind != UpdateKind::cached) isListCurrent_ = true;
 }
--- a/src/net/server/readiness.h
+++ b/src/net/server/readiness.h
@@ -22,7 +22,7 @@
     Readiness(TimerQueue& timers, const Limits& limits) : timers_(timers), limits_(limits) {}
 
     // Records an endpoint list. A list of any kind but UpdateKind::cached is an update from discovery.
-    void noteEndpointList(UpdateKind kind, bool isEmpty);
+    void recordEndpointList(UpdateKind kind, bool isEmpty);
 
     // Starts the waits. Precondition: the configured list has been recorded. `awaitsInitialUpdate`: discovery
     // sends its list without a request, so it is worth waiting for.
--- a/src/net/upstream/attempt_runner.cpp
+++ b/src/net/upstream/attempt_runner.cpp
@@ -93,7 +93,7 @@
     if (found == attempts_.end()) return;
     Attempt& attempt = found->second;
     const SteadyTimePoint now = steady_clock::now();
-    attempt.endpoint->noteResponse(now);
+    attempt.endpoint->recordResponse(now);
     if (isReusable && !attempt.endpoint->isDraining())
         idle_.add(*attempt.endpoint, attempt.connection, now);
     else
--- a/src/net/upstream/upstream_endpoint.h
+++ b/src/net/upstream/upstream_endpoint.h
@@ -35,7 +35,7 @@
     // `drainGracePeriod` after it started draining.
     bool acceptsAttempts(SteadyTimePoint now, Duration drainGracePeriod) const;
 
-    void noteResponse(SteadyTimePoint now) { lastResponseAt_ = now; }
+    void recordResponse(SteadyTimePoint now) { lastResponseAt_ = now; }
 
     // When the latest complete response was received; the clock's epoch if none was.
     SteadyTimePoint lastResponseAt() const { return lastResponseAt_; }
--- a/tests/net/server/readiness_test.cpp
+++ b/tests/net/server/readiness_test.cpp
@@ -34,30 +34,30 @@
 
 TEST_F(ReadinessTest, IsReadyAtOnceWithConfiguredListWhenNoUpdateIsAwaited) {
     Readiness readiness = makeReadiness(kNever, kNever);
-    readiness.noteEndpointList(UpdateKind::cached, false);
+    readiness.recordEndpointList(UpdateKind::cached, false);
     readiness.start(false);
     EXPECT_TRUE(readiness.isReady());
 }
 
 TEST_F(ReadinessTest, IsReadyAtOnceWithConfiguredListWhenWaitForUpdateIsZero) {
     Readiness readiness = makeReadiness(kNever, Duration::zero());
-    readiness.noteEndpointList(UpdateKind::cached, false);
+    readiness.recordEndpointList(UpdateKind::cached, false);
     readiness.start(true);
     EXPECT_TRUE(readiness.isReady());
 }
 
 TEST_F(ReadinessTest, BecomesReadyWithFirstUpdate) {
     Readiness readiness = makeReadiness(kNever, kNever);
-    readiness.noteEndpointList(UpdateKind::cached, false);
+    readiness.recordEndpointList(UpdateKind::cached, false);
     readiness.start(true);
     EXPECT_FALSE(readiness.isReady());
-    readiness.noteEndpointList(UpdateKind::delta, true);
+    readiness.recordEndpointList(UpdateKind::delta, true);
     EXPECT_TRUE(readiness.isReady());
 }
 
 TEST_F(ReadinessTest, BecomesReadyWithoutUpdateAtEndOfWait) {
     Readiness readiness = makeReadiness(kNever, kWait);
-    readiness.noteEndpointList(UpdateKind::cached, false);
+    readiness.recordEndpointList(UpdateKind::cached, false);
     readiness.start(true);
     EXPECT_FALSE(readiness.isReady());
     runOneTimer();
@@ -66,7 +66,7 @@
 
 TEST_F(ReadinessTest, BecomesReadyWithEmptyListAtEndOfWait) {
     Readiness readiness = makeReadiness(kWait, kNever);
-    readiness.noteEndpointList(UpdateKind::cached, true);
+    readiness.recordEndpointList(UpdateKind::cached, true);
     readiness.start(false);
     EXPECT_FALSE(readiness.isReady());
     runOneTimer();
@@ -75,17 +75,17 @@
 
 TEST_F(ReadinessTest, EmptyDeltaDoesNotReplaceEmptyConfiguredList) {
     Readiness readiness = makeReadiness(kNever, kNever);
-    readiness.noteEndpointList(UpdateKind::cached, true);
+    readiness.recordEndpointList(UpdateKind::cached, true);
     readiness.start(true);
-    readiness.noteEndpointList(UpdateKind::delta, true);
+    readiness.recordEndpointList(UpdateKind::delta, true);
     EXPECT_FALSE(readiness.isReady());
 }
 
 TEST_F(ReadinessTest, EmptySnapshotIsAUsableList) {
     Readiness readiness = makeReadiness(kNever, kNever);
-    readiness.noteEndpointList(UpdateKind::cached, true);
+    readiness.recordEndpointList(UpdateKind::cached, true);
     readiness.start(true);
-    readiness.noteEndpointList(UpdateKind::snapshot, true);
+    readiness.recordEndpointList(UpdateKind::snapshot, true);
     EXPECT_TRUE(readiness.isReady());
 }
 
