--- a/src/net/server/component_options.cpp
+++ b/src/net/server/component_options.cpp
@@ -29,7 +29,7 @@
 
 UpstreamPool::Limits upstreamPoolLimits(const Config& config, ReclaimDescriptor reclaimDescriptor) {
     UpstreamPool::Limits limits;
-    limits.connections = config.sockets * kUpstreamDescriptorPercent / 100;
+    limits.maxConnections = config.sockets * kUpstreamDescriptorPercent / 100;
     limits.connectTimeout = config.settings.connectTimeout;
     limits.keepAlive = config.keepAlive;
     limits.reuseDelay = config.timing.reuseDelay;
--- a/src/net/upstream/attempt_runner.cpp
+++ b/src/net/upstream/attempt_runner.cpp
@@ -48,7 +48,7 @@
 
 // Returns whether a connection may be opened. Closes an idle connection if the limit is reached.
 bool AttemptRunner::hasConnectionCapacity() {
-    return *openConnections_ < limits_.connections || idle_.evictOldest();
+    return *openConnections_ < limits_.maxConnections || idle_.evictOldest();
 }
 
 void AttemptRunner::connect(Attempt& attempt, AttemptId id, Duration timeout) {
--- a/src/net/upstream/attempt_runner.h
+++ b/src/net/upstream/attempt_runner.h
@@ -23,7 +23,7 @@
 class AttemptRunner final : private UpstreamConnectionObserver {
 public:
     struct Limits {
-        std::size_t connections = 256;          // over all endpoints, including idle connections
+        std::size_t maxConnections = 256;       // over all endpoints, including idle connections
         Duration connectTimeout{};              // 0: only the attempt's timeout applies
         Duration drainGracePeriod{};            // during which attempts are sent to a draining endpoint
         ReclaimDescriptor reclaimDescriptor{};  // called if the process has no file descriptor left
--- a/src/net/upstream/upstream_pool.cpp
+++ b/src/net/upstream/upstream_pool.cpp
@@ -10,7 +10,7 @@
 }
 
 AttemptRunner::Limits attemptLimits(const UpstreamPool::Limits& limits) {
-    return {limits.connections, limits.connectTimeout, limits.drainGracePeriod, limits.reclaimDescriptor};
+    return {limits.maxConnections, limits.connectTimeout, limits.drainGracePeriod, limits.reclaimDescriptor};
 }
 
 }  // namespace
--- a/src/net/upstream/upstream_pool.h
+++ b/src/net/upstream/upstream_pool.h
@@ -18,7 +18,7 @@
 class UpstreamPool {
 public:
     struct Limits {
-        std::size_t connections = 256;          // over all endpoints
+        std::size_t maxConnections = 256;       // over all endpoints
         Duration connectTimeout{};              // 0: only the attempt's timeout applies
         Duration keepAlive{};                   // endpoints close connections that were idle this long
         Duration drainGracePeriod{};            // during which attempts are sent to a draining endpoint
--- a/tests/net/upstream/attempt_runner_reuse_test.cpp
+++ b/tests/net/upstream/attempt_runner_reuse_test.cpp
@@ -25,7 +25,7 @@
 }
 
 TEST_F(AttemptRunnerTest, EvictsIdleConnectionOfOtherEndpointAtConnectionLimit) {
-    limits.connections = 1;
+    limits.maxConnections = 1;
     makeRunner();
     tcp::socket peer = startAndReceive();
     respond(peer);
--- a/tests/net/upstream/attempt_runner_test.cpp
+++ b/tests/net/upstream/attempt_runner_test.cpp
@@ -40,7 +40,7 @@
 }
 
 TEST_F(AttemptRunnerTest, EndsAtOnceIfEveryConnectionIsInUse) {
-    limits.connections = 1;
+    limits.maxConnections = 1;
     makeRunner();
     const tcp::socket peer = startAndReceive();
     const AttemptId second = start();
