--- a/src/net/upstream/attempt_runner.cpp
+++ b/src/net/upstream/attempt_runner.cpp
@@ -8,9 +8,13 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-AttemptRunner::AttemptRunner(boost::asio::io_context& ioContext, TimerQueue& timers, IdleConnectionPool& idle,
-                             const Limits& limits, Hooks hooks)
-    : ioContext_(ioContext), timers_(timers), idle_(idle), limits_(limits), hooks_(std::move(hooks)) {}
+AttemptRunner::AttemptRunner(boost::asio::io_context& ioContext, TimerQueue& timers,
+                             IdleConnectionPool& idleConnections, const Limits& limits, Hooks hooks)
+    : ioContext_(ioContext),
+      timers_(timers),
+      idleConnections_(idleConnections),
+      limits_(limits),
+      hooks_(std::move(hooks)) {}
 
 // ---- Starting and sending -------------------------------------------------------------------------
 
@@ -28,7 +32,7 @@
         return;
     }
     attempt.timeoutTimer = timers_.after(options.timeout, [this, id] { expire(id); });
-    attempt.connection = idle_.take(*attempt.endpoint);
+    attempt.connection = idleConnections_.take(*attempt.endpoint);
     if (attempt.connection) {
         attempt.connection->assign(id);
         send(attempt);
@@ -48,7 +52,7 @@
 
 // Returns whether a connection may be opened. Closes an idle connection if the limit is reached.
 bool AttemptRunner::hasConnectionCapacity() {
-    return *openConnections_ < limits_.maxConnections || idle_.evictOldest();
+    return *openConnections_ < limits_.maxConnections || idleConnections_.evictOldest();
 }
 
 void AttemptRunner::connect(Attempt& attempt, AttemptId id, Duration timeout) {
@@ -95,7 +99,7 @@
     const SteadyTimePoint now = steady_clock::now();
     attempt.endpoint->recordResponse(now);
     if (isReusable && !attempt.endpoint->isDraining())
-        idle_.add(*attempt.endpoint, attempt.connection, now);
+        idleConnections_.add(*attempt.endpoint, attempt.connection, now);
     else
         attempt.connection->close();
     finish(id, std::move(result));
@@ -116,7 +120,7 @@
 }
 
 void AttemptRunner::onUnexpectedInput(const ConnectionPtr& connection) {
-    idle_.close(connection);
+    idleConnections_.close(connection);
 }
 
 void AttemptRunner::expire(AttemptId id) {
@@ -128,7 +132,7 @@
     // since the attempt started, its idle connections are closed too, so that the next attempt has to connect
     // and finds out whether the endpoint is reachable.
     const UpstreamEndpoint& endpoint = *attempt.endpoint;
-    if (endpoint.lastResponseAt() < attempt.startedAt) idle_.closeAll(endpoint);
+    if (endpoint.lastResponseAt() < attempt.startedAt) idleConnections_.closeAll(endpoint);
     finish(id, attempt.connection->isRequestWritten() ? Outcome::timedOut : Outcome::connectFailed);
 }
 
--- a/src/net/upstream/attempt_runner.h
+++ b/src/net/upstream/attempt_runner.h
@@ -42,9 +42,9 @@
         Duration startWithin{};  // the request is not sent later than this; 0: no limit
     };
 
-    // `ioContext`, `timers` and `idle` must outlive the runner. `ioContext` must not run a handler after the
-    // runner is destroyed.
-    AttemptRunner(boost::asio::io_context& ioContext, TimerQueue& timers, IdleConnectionPool& idle,
+    // `ioContext`, `timers` and `idleConnections` must outlive the runner. `ioContext` must not run a handler
+    // after the runner is destroyed.
+    AttemptRunner(boost::asio::io_context& ioContext, TimerQueue& timers, IdleConnectionPool& idleConnections,
                   const Limits& limits, Hooks hooks);
 
     // Starts an attempt. `endpoint` is null if discovery does not list it. Precondition: `id` was not used
@@ -89,7 +89,7 @@
 
     boost::asio::io_context& ioContext_;
     TimerQueue& timers_;
-    IdleConnectionPool& idle_;
+    IdleConnectionPool& idleConnections_;
     Limits limits_;
     Hooks hooks_;
     std::unordered_map<AttemptId, Attempt> attempts_;  // in flight
--- a/src/net/upstream/upstream_pool.cpp
+++ b/src/net/upstream/upstream_pool.cpp
@@ -17,9 +17,9 @@
 
 UpstreamPool::UpstreamPool(boost::asio::io_context& ioContext, TimerQueue& timers, const Limits& limits,
                            Hooks hooks)
-    : idle_(timers, idleLimits(limits)),
-      endpoints_([this](const UpstreamEndpoint& endpoint) { idle_.closeAll(endpoint); }),
-      attempts_(ioContext, timers, idle_, attemptLimits(limits), std::move(hooks)) {}
+    : idleConnections_(timers, idleLimits(limits)),
+      endpoints_([this](const UpstreamEndpoint& endpoint) { idleConnections_.closeAll(endpoint); }),
+      attempts_(ioContext, timers, idleConnections_, attemptLimits(limits), std::move(hooks)) {}
 
 void UpstreamPool::update(const EndpointList& list) {
     endpoints_.update(list);
@@ -39,7 +39,7 @@
 }
 
 bool UpstreamPool::evictIdleConnection() {
-    return idle_.evictOldest();
+    return idleConnections_.evictOldest();
 }
 
 }  // namespace gateway::net
--- a/src/net/upstream/upstream_pool.h
+++ b/src/net/upstream/upstream_pool.h
@@ -55,7 +55,7 @@
     bool evictIdleConnection();
 
 private:
-    IdleConnectionPool idle_;
+    IdleConnectionPool idleConnections_;
     UpstreamEndpointTable endpoints_;
     AttemptRunner attempts_;
 };
--- a/tests/net/upstream/attempt_runner_fixture.h
+++ b/tests/net/upstream/attempt_runner_fixture.h
@@ -45,7 +45,7 @@
             if (beforeSend) beforeSend(id);
         };
         hooks.shouldSend = [this](AttemptId) { return shouldSend; };
-        runner.emplace(ioContext, timers, idle, limits, std::move(hooks));
+        runner.emplace(ioContext, timers, idleConnections, limits, std::move(hooks));
     }
 
     AttemptId start() {
@@ -77,7 +77,7 @@
 
     std::shared_ptr<ForwardedRequest> request = std::make_shared<ForwardedRequest>();
     std::shared_ptr<UpstreamEndpoint> endpoint = std::make_shared<UpstreamEndpoint>(EndpointId{"a"});
-    IdleConnectionPool idle{timers, {std::chrono::seconds(60), Duration::zero()}};
+    IdleConnectionPool idleConnections{timers, {std::chrono::seconds(60), Duration::zero()}};
     AttemptRunner::Limits limits;
     AttemptRunner::Options options{std::chrono::seconds(20), Duration::zero()};
     bool shouldSend = true;
--- a/tests/net/upstream/attempt_runner_reuse_test.cpp
+++ b/tests/net/upstream/attempt_runner_reuse_test.cpp
@@ -52,7 +52,7 @@
     respond(peer);
     write(peer, kResponse);
     EXPECT_TRUE(isClosedWithoutBytes(peer));
-    EXPECT_EQ(idle.take(*endpoint), nullptr);
+    EXPECT_EQ(idleConnections.take(*endpoint), nullptr);
 }
 
 TEST_F(AttemptRunnerTest, KeepsIdleConnectionsAfterTimeoutIfEndpointHasResponded) {
@@ -63,7 +63,7 @@
     respond(answered);
     runUntil([&] { return ended.size() == 2U; });
     EXPECT_EQ(ended[1].result.outcome, Outcome::timedOut);
-    EXPECT_NE(idle.take(*endpoint), nullptr);
+    EXPECT_NE(idleConnections.take(*endpoint), nullptr);
 }
 
 TEST_F(AttemptRunnerTest, ClosesIdleConnectionsAfterTimeoutWithoutAnyResponse) {
