--- a/src/net/transport/timer_queue.cpp
+++ b/src/net/transport/timer_queue.cpp
@@ -11,18 +11,18 @@
 
 namespace {
 
-constexpr auto kGrid = std::chrono::milliseconds(2);
+constexpr auto kResolution = std::chrono::milliseconds(2);
 
-SteadyTimePoint roundUpToGrid(SteadyTimePoint time) {
-    const auto excess = time.time_since_epoch() % kGrid;
-    return excess.count() > 0 ? time + (kGrid - excess) : time;
+SteadyTimePoint roundUpToResolution(SteadyTimePoint time) {
+    const auto excess = time.time_since_epoch() % kResolution;
+    return excess.count() > 0 ? time + (kResolution - excess) : time;
 }
 
 }  // namespace
 
 TimerQueue::Token TimerQueue::after(Duration delay, std::function<void()> callback) {
     const SteadyTimePoint now = steady_clock::now();
-    const SteadyTimePoint due = delay > Duration::zero() ? roundUpToGrid(now + delay) : now;
+    const SteadyTimePoint due = delay > Duration::zero() ? roundUpToResolution(now + delay) : now;
     const Token token = nextToken_;
     ++nextToken_;
     entries_.emplace(due, token);
