--- a/src/net/transport/backoff.cpp
+++ b/src/net/transport/backoff.cpp
@@ -9,10 +9,10 @@
 
 Duration Backoff::next() {
     bound_ = std::clamp(bound_ * 2, initialBound_, maxBound_);
-    return within(bound_);
+    return drawUpTo(bound_);
 }
 
-Duration Backoff::within(Duration bound) {
+Duration Backoff::drawUpTo(Duration bound) {
     if (bound <= Duration::zero()) return Duration::zero();
     std::uniform_int_distribution<Duration::rep> microseconds(1, bound.count());
     return Duration(microseconds(random_));
--- a/src/net/transport/backoff.h
+++ b/src/net/transport/backoff.h
@@ -21,7 +21,7 @@
 
     // Returns a random wait, uniformly distributed up to `bound`. Does not change the bound of next().
     // Returns 0 if `bound` is 0 or less.
-    Duration within(Duration bound);
+    Duration drawUpTo(Duration bound);
 
     // Sets the bound of the next call to next() back to `initialBound`.
     void reset();
--- a/tests/net/discovery/poll_schedule_fleet_test.cpp
+++ b/tests/net/discovery/poll_schedule_fleet_test.cpp
@@ -32,7 +32,7 @@
     RandomSchedule(Duration maxPollInterval, std::uint64_t seed)
         : backoff_(maxPollInterval / 2, maxPollInterval, seed) {}
     Duration delayAfterFailure(TimePoint) { return backoff_.next(); }
-    Duration delayAfterSilence(TimePoint) { return backoff_.within(seconds(1)); }
+    Duration delayAfterSilence(TimePoint) { return backoff_.drawUpTo(seconds(1)); }
     Duration delayAfterReload(TimePoint) { return Duration::zero(); }
     Duration delayAfterUnanswered(TimePoint) { return kMaxSilence + backoff_.next(); }
 
--- a/tests/net/transport/backoff_test.cpp
+++ b/tests/net/transport/backoff_test.cpp
@@ -55,13 +55,13 @@
 
 TEST_F(BackoffTest, DrawUpToBoundDoesNotChangeBoundOfNext) {
     for (int i = 0; i < kDraws; ++i) {
-        const Duration wait = backoff.within(Duration(3));
+        const Duration wait = backoff.drawUpTo(Duration(3));
         EXPECT_GE(wait, Duration(1));
         EXPECT_LE(wait, Duration(3));
     }
     EXPECT_LE(backoff.next(), kInitialBound);
-    EXPECT_EQ(backoff.within(Duration::zero()), Duration::zero());
-    EXPECT_EQ(backoff.within(Duration(-1)), Duration::zero());
+    EXPECT_EQ(backoff.drawUpTo(Duration::zero()), Duration::zero());
+    EXPECT_EQ(backoff.drawUpTo(Duration(-1)), Duration::zero());
 }
 
 TEST_F(BackoffTest, SameSeedDrawsSameWaits) {
