--- a/src/net/transport/tcp_connection.h
+++ b/src/net/transport/tcp_connection.h
@@ -52,7 +52,7 @@
     bool hasInput() { return input_.size() > 0 || peek() == PeekResult::bytes; }
 
     // Returns whether the connection is open and has no unconsumed bytes, in input() or in the kernel.
-    bool isQuiet() { return input_.size() == 0 && peek() == PeekResult::nothing; }
+    bool isOpenWithoutInput() { return input_.size() == 0 && peek() == PeekResult::nothing; }
 
     // Returns whether the peer has closed its sending direction or the connection has failed, even if
     // received bytes have not been read yet. Makes one system call, or two if there are unread bytes.
--- a/src/net/upstream/idle_connection_pool.cpp
+++ b/src/net/upstream/idle_connection_pool.cpp
@@ -40,7 +40,7 @@
         const IdleConnection idle = std::move(*end);
         end = candidates.erase(end);
         // Surplus bytes or the close of the connection may not have been read yet.
-        if (!isExpired(idle, now) && idle.connection->isQuiet()) return idle.connection;
+        if (!isExpired(idle, now) && idle.connection->isOpenWithoutInput()) return idle.connection;
         idle.connection->close();
     }
     return nullptr;
--- a/tests/net/transport/tcp_connection_test.cpp
+++ b/tests/net/transport/tcp_connection_test.cpp
@@ -97,12 +97,12 @@
 
 TEST_F(TcpConnectionTest, ReadsInput) {
     connectAndAccept();
-    EXPECT_TRUE(connection->isQuiet());
+    EXPECT_TRUE(connection->isOpenWithoutInput());
     write(peer, "hello");
     runUntil([&] { return !connection->calls.empty(); });
     EXPECT_EQ(connection->received(), "hello");
     EXPECT_TRUE(connection->hasInput());
-    EXPECT_FALSE(connection->isQuiet());
+    EXPECT_FALSE(connection->isOpenWithoutInput());
 }
 
 TEST_F(TcpConnectionTest, DetectsBytesAndCloseThatAreNotReadYet) {
