--- a/src/net/upstream/upstream_connection.cpp
+++ b/src/net/upstream/upstream_connection.cpp
@@ -18,7 +18,7 @@
 constexpr int kMaxInterimResponses = 8;  // 1xx responses before a final one
 // Counted from the first bytes of a response. Ends responses that never complete.
 constexpr Duration kMaxResponseTime = std::chrono::milliseconds(200);
-constexpr std::size_t kUsualHeadBytes = 320;
+constexpr std::size_t kTypicalHeaderBytes = 320;
 
 bool isInterim(const HttpResponse& message) {
     return message.result_int() < static_cast<unsigned>(http::status::ok);
@@ -49,7 +49,7 @@
 void UpstreamConnection::write(const ForwardedRequest& request, std::chrono::milliseconds timeout) {
     const auto timeoutMs = std::max<long long>(1, timeout.count());
     std::string text;
-    text.reserve(kUsualHeadBytes + request.target.size() + request.body.size());
+    text.reserve(kTypicalHeaderBytes + request.target.size() + request.body.size());
     text.append(request.method).append(" ").append(request.target).append(" HTTP/1.1\r\nHost: ");
     text.append(request.host).append("\r\nRequest-Id: ").append(request.id);
     text.append("\r\nRequest-Timeout-Ms: ").append(std::to_string(timeoutMs));
@@ -57,7 +57,7 @@
     if (request.method != "GET")
         text.append("\r\nContent-Length: ").append(std::to_string(request.body.size()));
     text.append("\r\n\r\n").append(request.body);
-    writtenBefore_ = written();
+    bytesWrittenBefore_ = written();
     send(text);
 }
 
@@ -74,7 +74,7 @@
         observer_.onUnexpectedInput(self());
         return;
     }
-    if (written() == writtenBefore_) {  // no byte of the request was written yet
+    if (written() == bytesWrittenBefore_) {  // no byte of the request was written yet
         closeAsBroken();
         return;
     }
