--- a/src/net/upstream/upstream_response.cpp
+++ b/src/net/upstream/upstream_response.cpp
@@ -51,9 +51,9 @@
 Outcome outcomeOf(const HttpResponse& message) {
     const http::status status = message.result();
     if (status == http::status::ok) return Outcome::ok;
-    const bool canBeNotStarted =
+    const bool canReportNotStarted =
         status == http::status::service_unavailable || status == http::status::gateway_timeout;
-    return canBeNotStarted && message["Not-Started"] == "1" ? Outcome::rejected : Outcome::error;
+    return canReportNotStarted && message["Not-Started"] == "1" ? Outcome::rejected : Outcome::error;
 }
 
 }  // namespace
