--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -133,7 +133,7 @@
     return clients_.evictIdleClient() || upstreams_.evictIdleConnection();
 }
 
-void GatewayServer::ensureDescriptor() {
+void GatewayServer::ensureFreeDescriptor() {
     tcp::socket probe(ioContext_);
     error_code ec;
     probe.open(tcp::v4(), ec);
--- a/src/net/server/gateway_server.h
+++ b/src/net/server/gateway_server.h
@@ -40,7 +40,7 @@
 
     // Makes sure that one file descriptor is free, for example to open a file. Closes an idle connection if
     // none is free.
-    void ensureDescriptor();
+    void ensureFreeDescriptor();
 
     // Changes the addresses of discovery and of the counter service to those in `config`. Ignores all other
     // changes in `config`.
--- a/src/net/server/service.cpp
+++ b/src/net/server/service.cpp
@@ -41,7 +41,7 @@
 
     void reload() {
         try {
-            server_.ensureDescriptor();
+            server_.ensureFreeDescriptor();
             server_.reload(configFromEnvironment(ConfigLoad::reload));
         } catch (const std::exception& e) {
             log(LogLevel::error, "SIGHUP",
