--- a/include/gateway/actions.h
+++ b/include/gateway/actions.h
@@ -15,7 +15,7 @@
     RequestId request;
     EndpointId endpoint;
     Duration timeout{};
-    Duration beginWithin{};  // an attempt that was not sent by then ends as notSent; 0: no such limit
+    Duration maxSendDelay{};  // an attempt that was not sent within it ends as notSent; 0: no limit
 };
 
 // Cancel an attempt whose response is no longer needed.
@@ -39,13 +39,13 @@
 struct AddToCounter {
     std::string name;
     double amount = 0;
-    Duration keepFor{};  // time to live of the name on the counter
+    Duration timeToLive{};  // of the name on the counter service
 };
 
 // Start a timer. One TimerFired follows.
 struct SetTimer {
     TimerId timer{};
-    Duration after{};
+    Duration delay{};
 };
 
 // Open a watch on discovery, and report each change of the endpoint set from now on.
--- a/include/gateway/events.h
+++ b/include/gateway/events.h
@@ -20,7 +20,7 @@
 
 // One endpoint as discovery lists it.
 struct EndpointEntry {
-    EndpointId endpoint;
+    EndpointId id;
     Availability availability = Availability::up;
     TimePoint startedAt{};  // latest start of its process; the epoch: long ago
     CellId cell{};          // for DeduplicationScope::cell
@@ -79,10 +79,10 @@
     EndpointId endpoint;
     Outcome outcome = Outcome::ok;
     Duration elapsed{};
-    bool closed = false;                   // the request has its final answer, or its client disconnected
-    std::optional<double> trueCost;        // actual cost, with Settings::reconciliationEnabled
-    std::optional<double> meteredPercent;  // use of the tenant's quota over all gateways
-    std::optional<LoadReport> report;
+    bool requestClosed = false;               // the request has its final answer, or its client disconnected
+    std::optional<double> actualCost;         // with Settings::reconciliationEnabled only
+    std::optional<double> quotaUsagePercent;  // of the tenant, over all gateways
+    std::optional<LoadReport> loadReport;
 };
 
 // The response of an attempt has begun. The attempt can't be cancelled any more.
--- a/src/net/counter/counter_protocol.cpp
+++ b/src/net/counter/counter_protocol.cpp
@@ -19,7 +19,7 @@
 constexpr std::uint64_t kMaxResponseBytes = 4096;
 constexpr auto kFirstFinalStatus = static_cast<unsigned>(http::status::ok);
 
-// Writes fixed notation: the counter does not read exponents.
+// Uses fixed notation, because the counter does not accept exponents.
 void appendDecimal(std::string& text, double value) {
     std::array<char, kMaxDecimalChars> chars{};
     const auto end =
@@ -30,7 +30,7 @@
 }  // namespace
 
 void appendCounterCall(std::string& text, const AddToCounter& call, std::string_view host) {
-    const auto timeToLive = std::max(milliseconds(1), std::chrono::ceil<milliseconds>(call.keepFor));
+    const auto timeToLive = std::max(milliseconds(1), std::chrono::ceil<milliseconds>(call.timeToLive));
     text.append("POST /v1/count/").append(call.name).append("?add=");
     appendDecimal(text, call.amount);
     text.append("&ttl_ms=").append(std::to_string(timeToLive.count()));
--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -14,17 +14,17 @@
 namespace {
 
 AttemptEnded toEvent(const RequestRegistry::EndedAttempt& attempt, const AttemptResult& result,
-                     bool isClosed) {
+                     bool isRequestClosed) {
     AttemptEnded event;
     event.request = attempt.request;
     event.attempt = attempt.number;
     event.endpoint = attempt.endpoint;
     event.outcome = result.outcome;
     event.elapsed = result.elapsed;
-    event.report = result.report;
-    event.meteredPercent = result.meteredPercent;
-    event.trueCost = result.trueCost;
-    event.closed = isClosed;
+    event.loadReport = result.loadReport;
+    event.quotaUsagePercent = result.quotaUsagePercent;
+    event.actualCost = result.actualCost;
+    event.requestClosed = isRequestClosed;
     return event;
 }
 
@@ -191,7 +191,7 @@
         handleAttemptEnded(attempt->id, notSentResult());
         return;
     }
-    upstreams_.start(attempt->id, action.endpoint, {action.timeout, action.beginWithin}, attempt->forwarded);
+    upstreams_.start(attempt->id, action.endpoint, {action.timeout, action.maxSendDelay}, attempt->forwarded);
 }
 
 void GatewayServer::execute(const CancelAttempt& action) {
@@ -213,7 +213,7 @@
 
 void GatewayServer::execute(const SetTimer& action) {
     ++engineTimersInFlight_;
-    timers_.after(action.after, [this, timer = action.timer] {
+    timers_.after(action.delay, [this, timer = action.timer] {
         --engineTimersInFlight_;
         dispatcher_.dispatch(TimerFired{timer});
     });
--- a/src/net/upstream/attempt.h
+++ b/src/net/upstream/attempt.h
@@ -27,11 +27,11 @@
 struct AttemptResult {
     Outcome outcome = Outcome::reset;
     Duration elapsed{};  // from the start of the attempt
-    std::optional<LoadReport> report;
-    std::optional<double> meteredPercent;  // use of the tenant's quota, over all gateways
-    std::optional<double> trueCost;        // actual cost of the request; with Outcome::ok only
-    std::string contentType;               // with Outcome::ok only
-    std::string body;                      // with Outcome::ok only
+    std::optional<LoadReport> loadReport;
+    std::optional<double> quotaUsagePercent;  // of the tenant's quota, over all gateways
+    std::optional<double> actualCost;         // of the request; with Outcome::ok only
+    std::string contentType;                  // with Outcome::ok only
+    std::string body;                         // with Outcome::ok only
 };
 
 // Returns the result of an attempt that was not sent.
--- a/tests/decision/upstream/slow_start_test.cpp
+++ b/tests/decision/upstream/slow_start_test.cpp
@@ -21,7 +21,7 @@
 
     static EndpointEntry entryStartedAt(TimePoint startedAt) {
         EndpointEntry entry;
-        entry.endpoint = EndpointId("w0");
+        entry.id = EndpointId("w0");
         entry.startedAt = startedAt;
         return entry;
     }
@@ -194,7 +194,7 @@
         ended.request = attempt.request;
         ended.endpoint = attempt.endpoint;
         ended.elapsed = elapsed;
-        ended.closed = true;
+        ended.requestClosed = true;
         Actions actions;
         engine.handle(now + elapsed, ended, actions);
     }
--- a/tests/net/upstream/upstream_response_test.cpp
+++ b/tests/net/upstream/upstream_response_test.cpp
@@ -28,10 +28,10 @@
     response.body() = "content";
     const AttemptResult result = resultOf(http::status::ok);
     EXPECT_EQ(result.outcome, Outcome::ok);
-    ASSERT_TRUE(result.report);
-    EXPECT_EQ(result.report->inFlight, 7);
-    EXPECT_EQ(result.meteredPercent, 62.5);
-    EXPECT_EQ(result.trueCost, 3);
+    ASSERT_TRUE(result.loadReport);
+    EXPECT_EQ(result.loadReport->inFlight, 7);
+    EXPECT_EQ(result.quotaUsagePercent, 62.5);
+    EXPECT_EQ(result.actualCost, 3);
     EXPECT_EQ(result.contentType, "text/plain");
     EXPECT_EQ(result.body, "content");
 }
@@ -42,9 +42,9 @@
     response.body() = "content";
     const AttemptResult result = resultOf(http::status::internal_server_error);
     EXPECT_EQ(result.outcome, Outcome::error);
-    ASSERT_TRUE(result.report);
-    EXPECT_EQ(result.report->inFlight, 4);
-    EXPECT_EQ(result.trueCost, std::nullopt);
+    ASSERT_TRUE(result.loadReport);
+    EXPECT_EQ(result.loadReport->inFlight, 4);
+    EXPECT_EQ(result.actualCost, std::nullopt);
     EXPECT_EQ(result.body, "");
 }
 
@@ -65,10 +65,10 @@
 TEST_F(UpstreamResponseTest, IgnoresOtherItemsOfLoadReport) {
     response.set("Server-Load", "queue=2, rif=4, cpu");
     const AttemptResult result = resultOf(http::status::ok);
-    ASSERT_TRUE(result.report);
-    EXPECT_EQ(result.report->inFlight, 4);
+    ASSERT_TRUE(result.loadReport);
+    EXPECT_EQ(result.loadReport->inFlight, 4);
     response.set("Server-Load", "queue=2");
-    EXPECT_FALSE(resultOf(http::status::ok).report);
+    EXPECT_FALSE(resultOf(http::status::ok).loadReport);
 }
 
 class UpstreamResponseNumberTest : public UpstreamResponseTest,
@@ -79,9 +79,9 @@
     response.set("X-Settled", GetParam());
     response.set("Server-Load", std::string("inflight=") + GetParam());
     const AttemptResult result = resultOf(http::status::ok);
-    EXPECT_EQ(result.meteredPercent, std::nullopt);
-    EXPECT_EQ(result.trueCost, std::nullopt);
-    EXPECT_FALSE(result.report);
+    EXPECT_EQ(result.quotaUsagePercent, std::nullopt);
+    EXPECT_EQ(result.actualCost, std::nullopt);
+    EXPECT_FALSE(result.loadReport);
 }
 
 INSTANTIATE_TEST_SUITE_P(Numbers, UpstreamResponseNumberTest,
