--- a/src/net/client/client_request_reader.h
+++ b/src/net/client/client_request_reader.h
@@ -21,17 +21,17 @@
     enum class Progress {
         incomplete,  // more bytes of the request must be received
         complete,    // call takeRequest()
-        rejected,    // malformed or too large, see rejection(); the stream can't be read any further
+        rejected,    // malformed or too large, see rejectionStatus(); the stream can't be read any further
     };
 
     ClientRequestReader() { reset(); }
 
     // Records that bytes were received at `now`. `unreadBytes` is the number of all bytes that were received
     // and have not been consumed by read().
-    void noteReceived(std::size_t unreadBytes, TimePoint now) { arrivals_.noteArrival(unreadBytes, now); }
+    void recordReceived(std::size_t unreadBytes, TimePoint now) { arrivals_.recordArrival(unreadBytes, now); }
 
     // Continues to read the request, and consumes the bytes of `input` that belong to it. Preconditions:
-    // `input` is not empty, and noteReceived() was called for its bytes.
+    // `input` is not empty, and recordReceived() was called for its bytes.
     Progress read(boost::beast::flat_buffer& input, TimePoint now);
 
     // Returns the request that was read. Precondition: read() has returned `complete`, and takeRequest() has
@@ -39,7 +39,7 @@
     HttpRequest takeRequest();
 
     // Returns the status to answer with. Precondition: read() has returned `rejected`.
-    boost::beast::http::status rejection() const { return rejection_; }
+    boost::beast::http::status rejectionStatus() const { return rejectionStatus_; }
 
     // Returns whether a part of a request was read and the rest has not been received.
     bool isPartial() const { return isPartial_; }
@@ -61,7 +61,7 @@
     ArrivalLog arrivals_;
     TimePoint receivedAt_{};
     TimePoint startedAt_{};
-    boost::beast::http::status rejection_ = boost::beast::http::status::bad_request;
+    boost::beast::http::status rejectionStatus_ = boost::beast::http::status::bad_request;
     bool isPartial_ = false;
     bool expectsContinue_ = false;
 };
--- a/src/net/client/client_server.h
+++ b/src/net/client/client_server.h
@@ -21,8 +21,8 @@
         Duration listenAfterShutdown{};  // time from drain() until the listener closes
         Duration idleGracePeriod{};      // time from drain() until idle connections are closed
         // Time for a client to start the first request on a connection, and to send a request completely.
-        Duration maxPartialTime{};
-        Duration maxUndeliveredTime = std::chrono::seconds(10);  // for a client to receive a response
+        Duration requestReadTimeout{};
+        Duration responseWriteTimeout = std::chrono::seconds(10);  // for a client to receive a response
     };
     // The functions of ClientSessionObserver that the server delegates to its owner.
     struct Hooks {
@@ -72,7 +72,7 @@
     void onAccepted(const error_code& ec, tcp::socket&& socket);
     void startSession(tcp::socket&& socket);
     bool endIdleSession();
-    void endStuckSessions();
+    void endStalledSessions();
     void endIdleSessionsWhileDraining();
     void stopListening();
     void reportDrained();
--- a/tests/net/config/config_test.cpp
+++ b/tests/net/config/config_test.cpp
@@ -1,4 +1,3 @@
-// The configuration of a gateway process.
 #include "net/config/config.h"
 
 #include <gtest/gtest.h>
@@ -37,14 +36,14 @@
     EXPECT_EQ(config.discovery, parseAddress("127.0.0.1:1", "test"));
     EXPECT_FALSE(config.counter);
     EXPECT_EQ(config.seed, 0x8c1f30d27a5be964U);
-    EXPECT_EQ(config.sockets, 1024U);
+    EXPECT_EQ(config.maxDescriptors, 1024U);
     EXPECT_EQ(config.classNames, std::vector<std::string>{"load"});
     EXPECT_EQ(config.planNames, (std::vector<std::string>{"team", "free"}));
     EXPECT_EQ(config.vocabulary.zones, (std::vector<std::string>{"a", "b"}));
-    EXPECT_EQ(config.known.version, 41U);
+    EXPECT_EQ(config.cachedEndpoints.version, 41U);
 }
 
-TEST_F(ConfigTest, EnvironmentOverridesDiscoveryAtTheStartOnly) {
+TEST_F(ConfigTest, EnvironmentOverridesDiscoveryOnlyInInitialLoad) {
     ::setenv("EDGE_DISCOVERY", "127.0.0.1:2", 1);
     const std::string text = makeConfig().dump();
     EXPECT_EQ(readConfig(text, ConfigLoad::initial).discovery.port(), 2);
@@ -59,13 +58,13 @@
         readConfig("{");
         FAIL();
     } catch (const ConfigError& e) {
-        EXPECT_NE(std::string(e.what()).find("not JSON"), std::string::npos) << e.what();
+        EXPECT_NE(std::string(e.what()).find("is not valid JSON"), std::string::npos) << e.what();
     }
 }
 
 struct InvalidConfigCase {
     const char* name;
-    std::function<void(Json&)> change;
+    std::function<void(Json&)> modify;
     const char* place;
 };
 
@@ -77,7 +76,7 @@
 
 TEST_P(InvalidConfigTest, ThrowsConfigErrorThatNamesThePlace) {
     Json config = makeConfig();
-    GetParam().change(config);
+    GetParam().modify(config);
     try {
         readConfig(config.dump());
         FAIL();
--- a/tests/net/upstream/attempt_runner_fixture.h
+++ b/tests/net/upstream/attempt_runner_fixture.h
@@ -1,4 +1,4 @@
-// One AttemptRunner with one endpoint, whose peers a test accepts on a loopback socket.
+// A test fixture with an AttemptRunner and one endpoint. The test acts as the endpoint on a loopback socket.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -44,8 +44,8 @@
         hooks.beforeSend = [this](AttemptId id) {
             if (beforeSend) beforeSend(id);
         };
-        hooks.isWanted = [this](AttemptId) { return isWanted; };
-        runner.emplace(ioContext, timers, idle, limits, std::move(hooks));
+        hooks.shouldSend = [this](AttemptId) { return shouldSend; };
+        runner.emplace(ioContext, timers, idleConnections, limits, std::move(hooks));
     }
 
     AttemptId start() {
@@ -55,7 +55,8 @@
         return id;
     }
 
-    // Starts an attempt on a new connection and returns its peer once the request has come.
+    // Starts an attempt on a new connection, and returns the endpoint's socket after it has received the
+    // request.
     tcp::socket startAndReceive() {
         start();
         tcp::socket peer = accept();
@@ -76,10 +77,10 @@
 
     std::shared_ptr<ForwardedRequest> request = std::make_shared<ForwardedRequest>();
     std::shared_ptr<UpstreamEndpoint> endpoint = std::make_shared<UpstreamEndpoint>(EndpointId{"a"});
-    IdleConnectionPool idle{timers, {std::chrono::seconds(60), Duration::zero()}};
+    IdleConnectionPool idleConnections{timers, {std::chrono::seconds(60), Duration::zero()}};
     AttemptRunner::Limits limits;
     AttemptRunner::Options options{std::chrono::seconds(20), Duration::zero()};
-    bool isWanted = true;
+    bool shouldSend = true;
     std::function<void(AttemptId)> beforeSend;
     std::vector<Ended> ended;
     std::uint64_t lastAttempt = 0;
