--- a/src/decision/engine/request.h
+++ b/src/decision/engine/request.h
@@ -14,7 +14,7 @@
 // Whether the outcome of an attempt proves that its endpoint did not execute the request.
 bool provesNotExecuted(Outcome outcome);
 
-// One sending of a request to an endpoint.
+// One transmission of a request to an endpoint.
 struct Attempt {
     std::size_t endpointSlot = 0;  // in the endpoint set
     TimePoint sentAt{};
--- a/src/decision/engine/request_lifecycle.cpp
+++ b/src/decision/engine/request_lifecycle.cpp
@@ -154,9 +154,9 @@
 
 void RequestLifecycle::answerUnserved(EventContext& context, Request& request, Duration retryAfter) {
     if (retries_.isClientRetrySafe(request, context.now)) {
-        const Duration advice =
+        const Duration cappedRetryAfter =
             settings_.retryAfterAllowed ? std::min(retryAfter, settings_.maxRetryAfter) : Duration{};
-        context.emit(RejectRequest{request.arrival.request, advice});
+        context.emit(RejectRequest{request.arrival.request, cappedRetryAfter});
     } else {
         context.emit(FailRequest{request.arrival.request});
     }
--- a/src/decision/upstream/endpoint.h
+++ b/src/decision/upstream/endpoint.h
@@ -10,8 +10,9 @@
 
 namespace gateway {
 
-// Owns the state of its parts; each part is changed only through the operations here. Invariants: the subset
-// share lies between 0 and 1; an endpoint is usable if and only if its entry's availability is `up`.
+// Owns its parts, which change only through the operations here, except for the slow start tokens.
+// Invariants: the subset share lies between 0 and 1; an endpoint is usable if and only if its entry's
+// availability is `up`.
 class Endpoint {
 public:
     // An endpoint that is not listed yet. `maxInFlight`: its initial concurrency limit in attempts.
--- a/tests/support/slow_start_fleet.h
+++ b/tests/support/slow_start_fleet.h
@@ -75,7 +75,7 @@
         int number = 0;  // position among the attempts of its request, from 0
         std::size_t endpoint = 0;
         TimePoint sentAt{};
-        bool ended = false;  // the gateway has received its outcome
+        bool ended = false;  // its outcome is known, but the endpoint may still serve it
     };
     struct SimulatedEndpoint {
         EndpointEntry entry;
