--- a/src/decision/engine/request_lifecycle.cpp
+++ b/src/decision/engine/request_lifecycle.cpp
@@ -65,9 +65,9 @@
 
 void RequestLifecycle::onCounterReplied(EventContext& context, const CounterReplied& reply) {
     const CounterLedger::ReplyResult result = ledger_.onReply(context, reply);
-    recordAwaitedReply(context, result.charged, result.ok);
+    recordAwaitedReply(context, result.chargedRequest, result.ok);
     recordAwaitedReply(context, result.reader, result.ok);
-    ledger_.afterReply(context, result);
+    ledger_.scheduleFlushAfterReply(context, result);
 }
 
 void RequestLifecycle::recordAwaitedReply(EventContext& context, RequestKey key, bool ok) {
--- a/src/decision/quota/counter_ledger.cpp
+++ b/src/decision/quota/counter_ledger.cpp
@@ -66,14 +66,14 @@
     if (result.ok && call.reader() != RequestKey::none) carryDebt(context, *tenant, *slice);
     Request* request = requests_.find(call.request());
     if (call.admission() == Admission::pending && request != nullptr) {
-        result.charged = call.request();
+        result.chargedRequest = call.request();
         recordChargeReply(*request, reply.outcome);
         if (result.ok) readClosedSlice(context, *tenant, call, *request, reply);
     }
     return result;
 }
 
-void CounterLedger::afterReply(EventContext& context, const ReplyResult& result) {
+void CounterLedger::scheduleFlushAfterReply(EventContext& context, const ReplyResult& result) {
     Tenant* tenant = tenants_.find(result.tenant);
     if (tenant == nullptr || !result.slicePosition || !result.ok) return;
     if (*result.slicePosition >= tenant->slices.size()) return;
--- a/src/decision/quota/counter_ledger.h
+++ b/src/decision/quota/counter_ledger.h
@@ -26,13 +26,13 @@
 public:
     // The requests and the slice that a counter reply concerns.
     struct ReplyResult {
-        RequestKey charged = RequestKey::none;  // the undecided request whose charge the call posted
-        RequestKey reader = RequestKey::none;   // the request that waited for the slice's total only
-        bool ok = false;                        // the counter reported a total
+        RequestKey chargedRequest = RequestKey::none;  // the undecided request whose charge the call posted
+        RequestKey reader = RequestKey::none;          // the request that waited for the slice's total only
+        bool ok = false;                               // the counter reported a total
         TenantId tenant{};
         // Position of the slice in Tenant::slices when the reply arrived; empty if the slice is unknown. If
-        // the decisions on the requests open a new slice, afterReply() finds another slice at that position:
-        // see "Known faults" in docs/design.md.
+        // the decisions on the requests open a new slice, scheduleFlushAfterReply() finds another slice at
+        // that position: see "Known faults" in docs/design.md.
         std::optional<std::size_t> slicePosition;
     };
 
@@ -57,7 +57,7 @@
 
     // Schedules a flush of the slice's pending amounts. To be called after the requests of the result have
     // been decided.
-    void afterReply(EventContext& context, const ReplyResult& result);
+    void scheduleFlushAfterReply(EventContext& context, const ReplyResult& result);
 
     // Records the cost of an admitted request in the slice.
     void recordAdmitted(const Tenant& tenant, WindowSlice& slice, const Request& request);
