--- a/src/decision/engine/request_lifecycle.cpp
+++ b/src/decision/engine/request_lifecycle.cpp
@@ -43,13 +43,13 @@
 
 void RequestLifecycle::startAdmission(EventContext& context, Request& request) {
     switch (admission_.start(context, request)) {
-        case QuotaAdmission::Start::rejected:
+        case QuotaAdmission::StartResult::rejected:
             answerUnserved(context, request, admission_.retryAfter(request, context.now));
             break;
-        case QuotaAdmission::Start::decideNow:
+        case QuotaAdmission::StartResult::readyToDecide:
             decide(context, request);
             break;
-        case QuotaAdmission::Start::waiting:
+        case QuotaAdmission::StartResult::waitingForReply:
             waitForCounter(context, request);
             break;
     }
--- a/src/decision/quota/quota_admission.cpp
+++ b/src/decision/quota/quota_admission.cpp
@@ -33,9 +33,9 @@
 
 // ---- Arrival --------------------------------------------------------------------------------------
 
-QuotaAdmission::Start QuotaAdmission::start(EventContext& context, Request& request) {
+QuotaAdmission::StartResult QuotaAdmission::start(EventContext& context, Request& request) {
     Tenant& tenant = tenants_.touch(request.arrival, context.now);
-    if (usage_.planOf(tenant).rate <= 0) return Start::decideNow;
+    if (usage_.planOf(tenant).rate <= 0) return StartResult::readyToDecide;
     const double cost = request.arrival.cost;
     WindowSlice& current = window_.advance(tenant, context.now);
     request.charge.sliceIndex = current.index();
@@ -45,14 +45,14 @@
         // An immediate rejection posts no charge, so the totals that other gateways read don't include a
         // charge that is about to be refunded.
         if (!window_.remainingQuota(tenant, current, current.total(), context.now).covers(cost))
-            return Start::rejected;
+            return StartResult::rejected;
     }
-    if (!settings_.counterEnabled) return Start::decideNow;
+    if (!settings_.counterEnabled) return StartResult::readyToDecide;
     const bool sampled = sampleRequest(context, tenant, current, request);
-    if (!sampled) return Start::decideNow;
+    if (!sampled) return StartResult::readyToDecide;
     ledger_.postCharge(context, tenant, current, request);
     // Calls to an unavailable counter only detect its recovery; no request waits for their replies.
-    return sampler_.isUnavailable() ? Start::decideNow : Start::waiting;
+    return sampler_.isUnavailable() ? StartResult::readyToDecide : StartResult::waitingForReply;
 }
 
 // Decides whether the request calls the counter and sets its charge accordingly. During congestion only a
--- a/src/decision/quota/quota_admission.h
+++ b/src/decision/quota/quota_admission.h
@@ -17,10 +17,10 @@
 class QuotaAdmission {
 public:
     // How a request proceeds after start().
-    enum class Start {
-        rejected,   // the last known total leaves no quota for the request
-        decideNow,  // decide() is to be called without a counter reply
-        waiting,    // decide() is to be called when the counter replies or the wait times out
+    enum class StartResult {
+        rejected,         // the last known total leaves no quota for the request
+        readyToDecide,    // decide() is to be called without a counter reply
+        waitingForReply,  // decide() is to be called when the counter replies or the wait times out
     };
 
     struct Decision {
@@ -43,7 +43,7 @@
 
     // Charges an arrived request, or rejects it if the last known total leaves no quota for it.
     // Precondition: its class and its plan are in the settings.
-    Start start(EventContext& context, Request& request);
+    StartResult start(EventContext& context, Request& request);
 
     // Returns the time until the tenant has quota for a request that start() rejected.
     Duration retryAfter(const Request& request, TimePoint now) const;
