--- a/tests/decision/quota/ceiling_bucket_test.cpp
+++ b/tests/decision/quota/ceiling_bucket_test.cpp
@@ -32,7 +32,7 @@
     gateway.request();
     EXPECT_TRUE(gateway.sends.empty());
     gateway.advance(milliseconds(60'000));
-    requestTimes(gateway, 20);
+    sendRequests(gateway, 20);
     EXPECT_EQ(gateway.sends.size(), 10u);  // half of the ceiling's burst: two gateways share it
 }
 
@@ -44,14 +44,14 @@
     plan().ceilingRate = 35;
     plan().ceilingBurst = 50;
     EngineFixture gateway = startGateway();
-    requestTimes(gateway, 40, {.entryPoints = 4});
+    sendRequests(gateway, 40, {.entryPoints = 4});
     EXPECT_GE(gateway.sends.size(), 29u);
     for (const SendAttempt& send : gateway.sends) endSuccessfully(gateway, send);
     gateway.isCounterAnswering = false;
     gateway.advance(milliseconds(1500));
     const std::size_t before = gateway.sends.size();
     for (int i = 0; i < 12; ++i) {
-        request(gateway, {.entryPoints = 4});
+        sendRequest(gateway, {.entryPoints = 4});
         gateway.failUnansweredAdds(Outcome::timedOut);
     }
     // A quarter of the difference of 20 between the bursts of ceiling and quota.
@@ -64,13 +64,13 @@
     plan().burst = 4000;
     EngineFixture gateway = startGateway();
     gateway.advance(milliseconds(60'000));
-    requestTimes(gateway, 10, {.entryPoints = 4});
+    sendRequests(gateway, 10, {.entryPoints = 4});
     EXPECT_EQ(gateway.sends.size(), 5u);  // a quarter of the ceiling's burst
     gateway.advance(milliseconds(1000));
-    requestTimes(gateway, 20, {.entryPoints = 1});
+    sendRequests(gateway, 20, {.entryPoints = 1});
     EXPECT_EQ(gateway.sends.size(), 7u);  // 2 more: a quarter of the rate over the last second
     gateway.advance(milliseconds(1000));
-    requestTimes(gateway, 20, {.entryPoints = 1});
+    sendRequests(gateway, 20, {.entryPoints = 1});
     EXPECT_EQ(gateway.sends.size(), 17u);  // 10 more: the whole rate over the last second
 }
 
@@ -114,9 +114,9 @@
         for (int i = 0; i < kGateways; ++i) gateways_.push_back(startGateway());
     }
 
-    void playStep(int step) {
+    void runStep(int step) {
         remaining_ = std::min(plan().ceilingBurst, remaining_ + plan().ceilingRate * kStepSeconds);
-        for (int i = 0; i < kGateways; ++i) playGateway(step, i);
+        for (int i = 0; i < kGateways; ++i) stepGateway(step, i);
     }
 
     double minRemaining() const { return minRemaining_; }
@@ -131,7 +131,7 @@
     static constexpr int kStepsPerRequest = 4;
     static constexpr int kCosts = 4;
 
-    void playGateway(int step, int index) {
+    void stepGateway(int step, int index) {
         EngineFixture& gateway = gateways_[static_cast<std::size_t>(index)];
         gateway.advance(kStep);
         const bool isAvailable = step % kOutagePeriodSteps < kOutageStartStep;
@@ -142,7 +142,7 @@
         if ((step + index) % kStepsPerRequest != 0 || isIdle) return;
         const double cost = 1 + (step / kStepsPerRequest + index) % kCosts;
         const std::size_t before = gateway.sends.size();
-        request(gateway, {.cost = cost, .entryPoints = kGateways});
+        sendRequest(gateway, {.cost = cost, .entryPoints = kGateways});
         gateway.failUnansweredAdds(Outcome::timedOut);
         for (std::size_t i = before; i < gateway.sends.size(); ++i) {
             remaining_ -= cost;
@@ -161,7 +161,7 @@
 };
 
 TEST_P(CeilingWithFailingCounterTest, HoldsOverAllGateways) {
-    for (int step = 0; step < kSteps; ++step) playStep(step);
+    for (int step = 0; step < kSteps; ++step) runStep(step);
     EXPECT_GE(minRemaining(), -plan().ceilingSlack);
     EXPECT_GE(forwardedCost(), kMinForwardedQuotaShare * plan().rate * kRunSeconds);
 }
--- a/tests/decision/quota/counter_ledger_test.cpp
+++ b/tests/decision/quota/counter_ledger_test.cpp
@@ -22,15 +22,15 @@
 TEST_F(CounterLedgerTest, OpenerOfASliceCarriesDebtOfTheClosedSliceForward) {
     EngineFixture gateway = startGateway();
     gateway.request();
-    EngineFixture other = startGateway();
-    other.counts = gateway.counts;
-    const std::string closed = other.counts.rbegin()->first;
-    other.counts[closed] = 30;
-    other.now += milliseconds(4000);  // the next slice, to which no gateway has posted
-    other.request();
-    EXPECT_EQ(other.sends.size(), 0u);
-    EXPECT_EQ(other.rejections.size(), 1u);
-    EXPECT_GE(other.counts.rbegin()->second, 30 - 2 * 4);  // the total less the rate over the slice's 4 s
+    EngineFixture otherGateway = startGateway();
+    otherGateway.counts = gateway.counts;
+    const std::string closedSliceName = otherGateway.counts.rbegin()->first;
+    otherGateway.counts[closedSliceName] = 30;
+    otherGateway.now += milliseconds(4000);  // the next slice, to which no gateway has posted
+    otherGateway.request();
+    EXPECT_EQ(otherGateway.sends.size(), 0u);
+    EXPECT_EQ(otherGateway.rejections.size(), 1u);
+    EXPECT_GE(otherGateway.counts.rbegin()->second, 30 - 2 * 4);  // less 4 s at the rate
 }
 
 // Each gateway of a large fleet sees so few requests of a tenant that it may overestimate remote usage many
@@ -40,14 +40,14 @@
     settings().usageMeterPeriod = milliseconds(1000);
     EngineFixture gateway = startGateway(kManyEndpoints);
     gateway.isCounterAnswering = false;
-    request(gateway, {.entryPoints = kLargeFleetEntryPoints});
+    sendRequest(gateway, {.entryPoints = kLargeFleetEntryPoints});
     gateway.failUnansweredAdds(
         Outcome::connectFailed);  // the request is admitted without a reply and its cost is pending
     ASSERT_EQ(gateway.sends.size(), 1u);
     gateway.isCounterAnswering = true;
     gateway.advance(milliseconds(4000));
     // This request opens the next slice and reads the closed one.
-    request(gateway, {.entryPoints = kLargeFleetEntryPoints});
+    sendRequest(gateway, {.entryPoints = kLargeFleetEntryPoints});
     gateway.advance(milliseconds(4000));
     EXPECT_EQ(gateway.sends.size(), 2u);
     EXPECT_LE(gateway.counterTotal(), 4);
@@ -58,11 +58,11 @@
     EngineFixture gateway = startGateway();
     gateway.isCounterAnswering = false;
     for (std::uint64_t tenant = 100; tenant < 103; ++tenant) {
-        request(gateway, {.tenant = tenant});
+        sendRequest(gateway, {.tenant = tenant});
         gateway.failUnansweredAdds(Outcome::rejected);
     }
     gateway.isCounterAnswering = true;
-    for (std::uint64_t tenant = 200; tenant < 210; ++tenant) request(gateway, {.tenant = tenant});
+    for (std::uint64_t tenant = 200; tenant < 210; ++tenant) sendRequest(gateway, {.tenant = tenant});
     for (const auto& [name, sum] : gateway.counts) EXPECT_GT(sum, 0) << name << " was only read";
 }
 
@@ -76,7 +76,7 @@
         for (int j = 0; j < kRequestsPerTenant; ++j) {
             gateway.isCounterAnswering =
                 (tenant + static_cast<std::uint64_t>(j)) % 3 == 0;  // most calls are rejected
-            request(gateway, {.tenant = tenant});
+            sendRequest(gateway, {.tenant = tenant});
             gateway.advance(milliseconds(10));
             gateway.failUnansweredAdds(Outcome::rejected);
             minimum = std::min(minimum, minCount(gateway));
@@ -92,14 +92,14 @@
     EngineFixture gateway = startGateway();
     gateway.isCounterAnswering = false;
     for (int i = 0; i < 24; ++i) {
-        request(gateway, {.entryPoints = 1});
+        sendRequest(gateway, {.entryPoints = 1});
         for (const AddToCounter& add : gateway.unansweredAdds) gateway.counts[add.name] += add.amount;
         gateway.failUnansweredAdds(Outcome::timedOut);
     }
     ASSERT_EQ(gateway.sends.size(), 24u);
     for (const SendAttempt& send : gateway.sends) endSuccessfully(gateway, send);
     gateway.isCounterAnswering = true;
-    requestTimes(gateway, 4, {.entryPoints = 1});
+    sendRequests(gateway, 4, {.entryPoints = 1});
     gateway.advance(milliseconds(5000));
     EXPECT_GT(gateway.counterTotal(), 20);
     EXPECT_LE(gateway.counterTotal(), 28 + 1e-6);
@@ -110,7 +110,7 @@
     EngineFixture gateway = startGateway();
     gateway.isCounterAnswering = false;
     const auto requestWithoutReply = [&] {
-        request(gateway, {.entryPoints = 1});
+        sendRequest(gateway, {.entryPoints = 1});
         gateway.advance(milliseconds(60));  // decided without the reply
     };
     for (int i = 0; i < 5; ++i) requestWithoutReply();
@@ -123,9 +123,9 @@
 
 TEST_F(CounterLedgerTest, PostsLostCountsAgain) {
     EngineFixture gateway = startGateway();
-    requestTimes(gateway, 5);
+    sendRequests(gateway, 5);
     gateway.counts.clear();
-    requestTimes(gateway, 7);
+    sendRequests(gateway, 7);
     EXPECT_EQ(gateway.sends.size(), 8u);
     gateway.advance(milliseconds(500));
     EXPECT_DOUBLE_EQ(gateway.counterTotal(), 8);
@@ -138,12 +138,12 @@
     EngineFixture gateway = startGateway();
     gateway.request(2);
     gateway.isCounterAnswering = false;
-    request(gateway, {.tenant = 9});
+    sendRequest(gateway, {.tenant = 9});
     gateway.failUnansweredAdds(Outcome::connectFailed);
     gateway.isCounterAnswering = true;
     for (auto& [name, value] : gateway.counts)
         if (value > 0) value -= 2;
-    requestTimes(gateway, 4);
+    sendRequests(gateway, 4);
     gateway.advance(milliseconds(1500));
     double sum = 0;
     for (const auto& [name, value] : gateway.counts)
@@ -182,11 +182,11 @@
     gateway.request();
     EXPECT_EQ(gateway.sends.size(), 2u);
 
-    EngineFixture refund = startGateway();
-    refund.request(2);
-    refund.endAttempt(refund.sends[0], 0, Outcome::ok, true, 1);
-    refund.advance(milliseconds(1000));
-    EXPECT_DOUBLE_EQ(refund.counterTotal(), 1);
+    EngineFixture refundGateway = startGateway();
+    refundGateway.request(2);
+    refundGateway.endAttempt(refundGateway.sends[0], 0, Outcome::ok, true, 1);
+    refundGateway.advance(milliseconds(1000));
+    EXPECT_DOUBLE_EQ(refundGateway.counterTotal(), 1);
 }
 
 }  // namespace
--- a/tests/decision/quota/counter_sampler_test.cpp
+++ b/tests/decision/quota/counter_sampler_test.cpp
@@ -16,11 +16,11 @@
 class CounterSamplerTest : public QuotaTest {
 protected:
     // Sends one request for each of `count` tenants. Calls to the counter fail for two of three tenants.
-    static void requestWhileCallsFail(EngineFixture& gateway, int count, Outcome failure) {
+    static void sendRequestsWhileCallsFail(EngineFixture& gateway, int count, Outcome failure) {
         for (int i = 0; i < count; ++i) {
             const std::uint64_t tenant = kFirstOtherTenant + static_cast<std::uint64_t>(i);
             gateway.isCounterAnswering = tenant % 3 == 0;
-            request(gateway, {.tenant = tenant});
+            sendRequest(gateway, {.tenant = tenant});
             gateway.failUnansweredAdds(failure);
         }
     }
@@ -34,15 +34,15 @@
 
 TEST_F(CounterSamplerTest, CallsACongestedCounterLessWithHigherSampleWeights) {
     EngineFixture gateway = startGateway();
-    requestWhileCallsFail(gateway, 60, Outcome::rejected);
+    sendRequestsWhileCallsFail(gateway, 60, Outcome::rejected);
     EXPECT_LT(gateway.addCount, 60);
     EXPECT_GT(maxCount(gateway), 1.5);
     EXPECT_LE(maxCount(gateway), 2);  // a higher weight of one sampled request could exhaust a small quota
     EXPECT_EQ(gateway.sends.size(), 60u - gateway.rejections.size());
     gateway.isCounterAnswering = true;
-    for (std::uint64_t tenant = 200; tenant < 600; ++tenant) request(gateway, {.tenant = tenant});
+    for (std::uint64_t tenant = 200; tenant < 600; ++tenant) sendRequest(gateway, {.tenant = tenant});
     const int before = gateway.addCount;
-    for (std::uint64_t tenant = 600; tenant < 700; ++tenant) request(gateway, {.tenant = tenant});
+    for (std::uint64_t tenant = 600; tenant < 700; ++tenant) sendRequest(gateway, {.tenant = tenant});
     EXPECT_GE(gateway.addCount - before, 90);  // the counter has recovered
 }
 
@@ -54,7 +54,7 @@
     for (int i = 0; i < kRequests; ++i) {
         const std::uint64_t tenant = kFirstOtherTenant + static_cast<std::uint64_t>(i);
         gateway.isCounterAnswering = tenant % 3 != 0;
-        request(gateway, {.tenant = tenant});
+        sendRequest(gateway, {.tenant = tenant});
         gateway.failUnansweredAdds(Outcome::reset);
     }
     // Every request posts its charge, and each one that gets a reply also reads the closed slice.
@@ -70,12 +70,12 @@
     for (std::uint64_t tenant = 100; tenant < 300; ++tenant) {
         gateway.isCounterAnswering = false;
         int before = gateway.addCount;
-        request(gateway, {.tenant = kFrequentTenant});
+        sendRequest(gateway, {.tenant = kFrequentTenant});
         frequentCalls += gateway.addCount - before;
         gateway.failUnansweredAdds(Outcome::rejected);
         gateway.isCounterAnswering = true;
         before = gateway.addCount;
-        request(gateway, {.tenant = tenant});
+        sendRequest(gateway, {.tenant = tenant});
         singleCalls += std::min(1, gateway.addCount - before);  // does not count the read of the closed slice
         gateway.advance(milliseconds(50));
     }
@@ -94,14 +94,14 @@
     EngineFixture gateway = startGateway(kManyEndpoints);
     std::array<int, 2> sampledRequests = {0, 0};
     for (int i = 0; i < kRequests; ++i) {
-        const auto which = static_cast<std::size_t>(i % 2);
+        const auto tenantIndex = static_cast<std::size_t>(i % 2);
         const bool isWarmUp = i < kWarmUpRequests;
         gateway.isCounterAnswering = isWarmUp || i % 10 > 1;  // some calls time out, which causes congestion
         const int before = gateway.addCount;
-        request(gateway, {.tenant = 5 + which, .entryPoints = kLargeFleetEntryPoints});
-        if (!isWarmUp && gateway.addCount > before) ++sampledRequests[which];
+        sendRequest(gateway, {.tenant = 5 + tenantIndex, .entryPoints = kLargeFleetEntryPoints});
+        if (!isWarmUp && gateway.addCount > before) ++sampledRequests[tenantIndex];
         gateway.failUnansweredAdds(Outcome::timedOut);
-        endLatestWithMeter(gateway, kMeterPercents[which]);
+        endLatestWithMeter(gateway, kMeterPercents[tenantIndex]);
         gateway.advance(milliseconds(50));
     }
     EXPECT_GT(sampledRequests[0], sampledRequests[1] + 10);
@@ -125,13 +125,13 @@
 
 TEST_F(CounterSampleRateTest, EveryRequestCallsAnUncongestedCounter) {
     RandomSource random(7);
-    RandomSource untouched(7);
+    RandomSource unusedRandom(7);
     record(Outcome::ok, 10);
     sampler.recordReplyValue(1);
     EXPECT_FALSE(sampler.isCongested());
     EXPECT_EQ(sampler.sampleProbability(1), 1);
     EXPECT_TRUE(sampler.shouldCallNow(random));
-    EXPECT_EQ(random.next(), untouched.next());  // nothing was drawn
+    EXPECT_EQ(random.next(), unusedRandom.next());  // nothing was drawn
 }
 
 TEST_F(CounterSampleRateTest, RejectedCallsIndicateCongestionAndQuickRepliesItsEnd) {
--- a/tests/decision/quota/quota_admission_test.cpp
+++ b/tests/decision/quota/quota_admission_test.cpp
@@ -27,7 +27,7 @@
     EngineFixture gateway = startGateway();
     gateway.isCounterAnswering = false;
     for (int i = 0; i < kRequests; ++i) {
-        request(gateway, {.tenant = static_cast<std::uint64_t>(i % kTenants)});
+        sendRequest(gateway, {.tenant = static_cast<std::uint64_t>(i % kTenants)});
         gateway.advance(milliseconds(5));
         gateway.failUnansweredAdds(Outcome::connectFailed);
     }
@@ -40,7 +40,7 @@
 TEST_F(QuotaAdmissionTest, AdmitsAShareOfTheQuotaWhenTheCounterIsDisabled) {
     settings().counterEnabled = false;
     EngineFixture gateway = startGateway();
-    requestTimes(gateway, 12);
+    sendRequests(gateway, 12);
     EXPECT_EQ(gateway.addCount, 0);
     EXPECT_GE(gateway.sends.size(), 3u);
     EXPECT_LE(gateway.sends.size(), 5u);
@@ -50,7 +50,7 @@
     plan() = QuotaPlan{};
     plan().concurrency = 4;  // for two gateways together
     EngineFixture gateway = startGateway();
-    requestTimes(gateway, 6);
+    sendRequests(gateway, 6);
     EXPECT_EQ(gateway.sends.size(), 2u);
     endSuccessfully(gateway, gateway.sends[0]);
     gateway.request();
@@ -80,7 +80,7 @@
     EngineFixture gateway = startGateway();
     gateway.isCounterAnswering = false;
     for (int i = 0; i < kRequests; ++i) {
-        request(gateway, {.entryPoints = 4});
+        sendRequest(gateway, {.entryPoints = 4});
         gateway.failUnansweredAdds(Outcome::timedOut);
     }
     EXPECT_EQ(gateway.sends.size() == kRequests, GetParam().isAdmittedBeyondEstimate);
@@ -107,7 +107,7 @@
         gateway.isCounterAnswering = false;
         for (int i = 0; i < kRequests; ++i) {
             const std::size_t before = gateway.sends.size();
-            request(gateway, {.entryPoints = kLargeFleetEntryPoints});
+            sendRequest(gateway, {.entryPoints = kLargeFleetEntryPoints});
             gateway.failUnansweredAdds(Outcome::connectFailed);
             gateway.advance(milliseconds(50));
             if (gateway.sends.size() > before) endLatestWithMeter(gateway, 100);
@@ -137,14 +137,14 @@
         EngineFixture gateway = startGateway(kManyEndpoints);
         gateway.isCounterAnswering = false;
         for (int i = 0; i < kAnsweredRequests; ++i) {
-            playRequest(gateway, i, [&] {
+            runRequest(gateway, i, [&] {
                 while (!gateway.unansweredAdds.empty()) answerOldestCall(gateway, total);
             });
         }
         gateway.sends.clear();
         for (int i = 0; i < kUnansweredRequests; ++i) {
-            playRequest(gateway, kAnsweredRequests + i,
-                        [&] { gateway.failUnansweredAdds(Outcome::connectFailed); });
+            runRequest(gateway, kAnsweredRequests + i,
+                       [&] { gateway.failUnansweredAdds(Outcome::connectFailed); });
         }
         return static_cast<double>(gateway.sends.size()) / kUnansweredRequests;
     }
@@ -155,10 +155,10 @@
 
     // Sends a request of a new tenant, completes its calls to the counter and ends its attempt.
     template <class CompleteCalls>
-    static void playRequest(EngineFixture& gateway, int number, CompleteCalls completeCalls) {
+    static void runRequest(EngineFixture& gateway, int number, CompleteCalls completeCalls) {
         const std::size_t before = gateway.sends.size();
         const std::uint64_t tenant = 5 + static_cast<std::uint64_t>(number);
-        request(gateway, {.tenant = tenant, .entryPoints = kLargeFleetEntryPoints});
+        sendRequest(gateway, {.tenant = tenant, .entryPoints = kLargeFleetEntryPoints});
         completeCalls();
         if (gateway.sends.size() > before) endSuccessfully(gateway, gateway.sends.back());
         gateway.advance(milliseconds(50));
--- a/tests/decision/quota/quota_test.h
+++ b/tests/decision/quota/quota_test.h
@@ -37,12 +37,12 @@
         return EngineFixture(settings_, endpoints);
     }
 
-    static void request(EngineFixture& gateway, const RequestOptions& options) {
+    static void sendRequest(EngineFixture& gateway, const RequestOptions& options) {
         gateway.request(options.cost, options.tenant, kClientDeadline, options.entryPoints);
     }
 
-    static void requestTimes(EngineFixture& gateway, int count, const RequestOptions& options = {}) {
-        for (int i = 0; i < count; ++i) request(gateway, options);
+    static void sendRequests(EngineFixture& gateway, int count, const RequestOptions& options = {}) {
+        for (int i = 0; i < count; ++i) sendRequest(gateway, options);
     }
 
     static void endSuccessfully(EngineFixture& gateway, const SendAttempt& send) {
--- a/tests/decision/quota/quota_window_test.cpp
+++ b/tests/decision/quota/quota_window_test.cpp
@@ -28,7 +28,7 @@
 
 TEST_F(QuotaWindowTest, RefundsChargeWhenWindowIsExhausted) {
     EngineFixture gateway = startGateway();
-    requestTimes(gateway, 12);
+    sendRequests(gateway, 12);
     EXPECT_EQ(gateway.sends.size(), 8u);
     EXPECT_EQ(gateway.rejections.size(), 4u);
     EXPECT_GT(gateway.rejections[0].retryAfter, Duration::zero());
@@ -91,13 +91,13 @@
     for (auto& [name, value] : gateway.counts)
         if (value > 0) value -= 6;
     gateway.advance(milliseconds(2100));
-    requestTimes(gateway, 10);
+    sendRequests(gateway, 10);
     EXPECT_EQ(gateway.sends.size(), 10u);  // the 2 requests before, and the burst of 8
 }
 
 TEST_F(QuotaWindowTest, AdmitsAgainWhenTheExhaustedSlicesHaveLeftTheWindow) {
     EngineFixture gateway = startGateway();
-    requestTimes(gateway, 9);
+    sendRequests(gateway, 9);
     ASSERT_EQ(gateway.sends.size(), 8u);
     for (const SendAttempt& send : std::vector(gateway.sends)) endSuccessfully(gateway, send);
     gateway.advance(milliseconds(8000));
--- a/tests/decision/quota/tenant_usage_test.cpp
+++ b/tests/decision/quota/tenant_usage_test.cpp
@@ -74,9 +74,9 @@
     usage.recordExhausted();
     EXPECT_EQ(usage.meteredUtilization(), 1);
     usage.recordMeter(300);
-    const double beyond = usage.meteredUtilization();
+    const double utilizationBeyondQuota = usage.meteredUtilization();
     usage.recordExhausted();
-    EXPECT_EQ(usage.meteredUtilization(), beyond);
+    EXPECT_EQ(usage.meteredUtilization(), utilizationBeyondQuota);
 }
 
 }  // namespace
