--- a/tests/decision/quota/ceiling_bucket_test.cpp
+++ b/tests/decision/quota/ceiling_bucket_test.cpp
@@ -160,7 +160,7 @@
     double forwardedCost_ = 0;
 };
 
-TEST_P(CeilingWithFailingCounterTest, HoldsOverAllGateways) {
+TEST_P(CeilingWithFailingCounterTest, CeilingHoldsAcrossAllGateways) {
     for (int step = 0; step < kSteps; ++step) runStep(step);
     EXPECT_GE(minRemaining(), -plan().ceilingSlack);
     EXPECT_GE(forwardedCost(), kMinForwardedQuotaShare * plan().rate * kRunSeconds);
--- a/tests/decision/quota/counter_ledger_test.cpp
+++ b/tests/decision/quota/counter_ledger_test.cpp
@@ -19,7 +19,7 @@
     }
 };
 
-TEST_F(CounterLedgerTest, OpenerOfASliceCarriesDebtOfTheClosedSliceForward) {
+TEST_F(CounterLedgerTest, FirstCallOfASliceCarriesDebtOfTheClosedSliceForward) {
     EngineFixture gateway = startGateway();
     gateway.request();
     EngineFixture otherGateway = startGateway();
--- a/tests/decision/quota/counter_sampler_test.cpp
+++ b/tests/decision/quota/counter_sampler_test.cpp
@@ -32,7 +32,7 @@
     }
 };
 
-TEST_F(CounterSamplerTest, CallsACongestedCounterLessWithHigherSampleWeights) {
+TEST_F(CounterSamplerTest, CallsACongestedCounterLessOftenWithHigherSampleWeights) {
     EngineFixture gateway = startGateway();
     sendRequestsWhileCallsFail(gateway, 60, Outcome::rejected);
     EXPECT_LT(gateway.addCount, 60);
@@ -134,7 +134,7 @@
     EXPECT_EQ(random.next(), unusedRandom.next());  // nothing was drawn
 }
 
-TEST_F(CounterSampleRateTest, RejectedCallsIndicateCongestionAndQuickRepliesItsEnd) {
+TEST_F(CounterSampleRateTest, RejectedCallsStartCongestionAndFastRepliesEndIt) {
     record(Outcome::rejected);
     EXPECT_TRUE(sampler.isCongested());
     record(Outcome::ok, 100);
--- a/tests/decision/quota/quota_admission_test.cpp
+++ b/tests/decision/quota/quota_admission_test.cpp
@@ -46,7 +46,7 @@
     EXPECT_LE(gateway.sends.size(), 5u);
 }
 
-TEST_F(QuotaAdmissionTest, RejectsBeyondItsShareOfAttemptsInFlight) {
+TEST_F(QuotaAdmissionTest, RejectsBeyondItsShareOfTheConcurrencyLimit) {
     plan() = QuotaPlan{};
     plan().concurrency = 4;  // for two gateways together
     EngineFixture gateway = startGateway();
@@ -74,7 +74,7 @@
 
 // If an over-quota request earns more than it costs, no request is rejected because of estimated remote
 // usage.
-TEST_P(RemoteUsageEstimateTest, RejectsOnlyWhereAnOverQuotaRequestCosts) {
+TEST_P(RemoteUsageEstimateTest, RejectsForRemoteUsageOnlyIfOverQuotaRequestsCost) {
     constexpr int kRequests = 7;
     plan().overQuotaWeight = GetParam().overQuotaWeight;
     EngineFixture gateway = startGateway();
@@ -118,7 +118,7 @@
 
 // The meter of a tenant that is limited to its quota reads 100% however high the demand is. If every gateway
 // of a large fleet admitted all requests without a reply, they would exceed the quota.
-TEST_F(MeteredAdmissionTest, AdmitsFewerUnsampledRequestsWhereAnOverQuotaRequestCosts) {
+TEST_F(MeteredAdmissionTest, AdmitsFewerUnconfirmedRequestsIfOverQuotaRequestsCost) {
     EXPECT_GT(admittedShare(0), 0.95);
     EXPECT_LT(admittedShare(1), 0.45);
     EXPECT_GT(admittedShare(1), 0.2);
@@ -167,7 +167,7 @@
 
 // Without a meter, the usage of a tenant with low local traffic is unknown. The probability that its request
 // exceeds the quota is estimated from the counter replies for other tenants of the plan.
-TEST_F(UnmeteredAdmissionTest, AdmitsUnsampledRequestsByTheRemainingQuotaOfOtherTenants) {
+TEST_F(UnmeteredAdmissionTest, AdmitsUnconfirmedRequestsByTheQuotaLeftToOtherTenants) {
     EXPECT_GT(admittedShare(kTotalWithinQuota, 1), 0.95);
     EXPECT_GT(admittedShare(kTotalBeyondQuota, 0), 0.95);  // an over-quota request costs nothing
     EXPECT_LT(admittedShare(kTotalBeyondQuota, 1), 0.2);
--- a/tests/decision/quota/quota_window_test.cpp
+++ b/tests/decision/quota/quota_window_test.cpp
@@ -154,7 +154,7 @@
     EXPECT_DOUBLE_EQ(remaining(3), 5);
 }
 
-TEST_F(QuotaWindowQueryTest, WaitsUntilTheRateHasAddedTheMissingQuota) {
+TEST_F(QuotaWindowQueryTest, TimeUntilQuotaIsTheMissingCostDividedByTheRate) {
     window.expireCurrentSliceBurst(tenant, kNow);
     EXPECT_EQ(window.timeUntilQuota(tenant, 8, kNow), Duration::zero());
     EXPECT_EQ(window.timeUntilQuota(tenant, 10, kNow), milliseconds(1000));
--- a/tests/decision/quota/tenant_usage_test.cpp
+++ b/tests/decision/quota/tenant_usage_test.cpp
@@ -69,7 +69,7 @@
     EXPECT_NEAR(usage.meteredUtilization(), 0.2, 1e-3);
 }
 
-TEST_F(TenantUsageTest, ExhaustedQuotaIsInUseAtLeastWhole) {
+TEST_F(TenantUsageTest, ExhaustedQuotaRaisesUtilizationToAtLeastOne) {
     usage.assumeInitialUtilization();
     usage.recordExhausted();
     EXPECT_EQ(usage.meteredUtilization(), 1);
--- a/tests/decision/quota/usage_estimator_test.cpp
+++ b/tests/decision/quota/usage_estimator_test.cpp
@@ -62,7 +62,7 @@
     EXPECT_DOUBLE_EQ(estimator.estimatedRemoteUsage(tenant, 2), 6);
 }
 
-TEST_F(UsageEstimatorTest, EstimatesNoRemoteUsageWhereOverQuotaRequestsEarn) {
+TEST_F(UsageEstimatorTest, EstimatesNoRemoteUsageIfOverQuotaWeightExceedsPenalty) {
     tenant.entryPoints = 4;
     settings.plans[0].overQuotaWeight = 0.2;
     EXPECT_DOUBLE_EQ(estimator.estimatedRemoteUsage(tenant, 2), 0);
--- a/tests/decision/quota/window_slice_test.cpp
+++ b/tests/decision/quota/window_slice_test.cpp
@@ -67,7 +67,7 @@
     expectInvariants();
 }
 
-TEST_F(WindowSliceTest, UncountedCallMakesAllItCarriedPendingAgain) {
+TEST_F(WindowSliceTest, RolledBackCallMakesItsAmountsPendingAgain) {
     addPendingCharge(3);
     slice.beginChargeCall(kFirst, 5);
     slice.beginChargeCall(kSecond, 7);
@@ -88,7 +88,7 @@
     expectInvariants();
 }
 
-TEST_F(WindowSliceTest, TotalExcludesOwnRefundsAndCountsCostNotYetIncluded) {
+TEST_F(WindowSliceTest, TotalExcludesLocalRefundsAndKeepsCostAdmittedSince) {
     slice.beginChargeCall(kFirst, 5);
     slice.beginChargeCall(kSecond, 7);
     slice.recordAdmitted(kSecond, unpostedCharge(7), 7);
@@ -102,7 +102,7 @@
     expectInvariants();
 }
 
-TEST_F(WindowSliceTest, RefundsNoChargeWithoutACallInFlight) {
+TEST_F(WindowSliceTest, RefundsNoChargeThatNoCallHasPosted) {
     slice.beginChargeCall(kFirst, 5);
     EXPECT_FALSE(slice.refundRejected(kSecond, unpostedCharge(5)));
     EXPECT_FALSE(slice.hasPendingAmounts());
@@ -110,7 +110,7 @@
     expectInvariants();
 }
 
-TEST_F(WindowSliceTest, RefundsConfirmedChargeFromTheTotal) {
+TEST_F(WindowSliceTest, RefundOfAConfirmedChargeLowersTheTotal) {
     slice.beginChargeCall(kFirst, 5);
     slice.applyTotal(slice.endOldestCall(), reportedTotal(40));
     EXPECT_TRUE(slice.refundRejected(kFirst, confirmedCharge(5)));
@@ -132,7 +132,7 @@
     EXPECT_FALSE(slice.hasCallInFlight());
 }
 
-TEST_F(WindowSliceTest, OnlyAChargeCallCountsAsOne) {
+TEST_F(WindowSliceTest, OnlyChargeCallsSetHasChargeCalls) {
     slice.beginFlushCall();
     slice.beginReadCall(kFirst);
     EXPECT_FALSE(slice.hasChargeCalls());
@@ -140,7 +140,7 @@
     EXPECT_TRUE(slice.hasChargeCalls());
 }
 
-TEST_F(WindowSliceTest, CallMovesPendingCostWithoutLosingAny) {
+TEST_F(WindowSliceTest, FlushCallAndItsRollBackKeepTheBalance) {
     addPendingCharge(3);
     addPendingRefund(2);
     const double before = balance();
@@ -153,7 +153,7 @@
     expectInvariants();
 }
 
-TEST_F(WindowSliceTest, AdmittedChargeIsBalancedWhetherOrNotItsCallWasCounted) {
+TEST_F(WindowSliceTest, AdmittedChargeStaysInTheBalanceWhenItsCallIsRolledBack) {
     slice.beginChargeCall(kFirst, 5);
     slice.recordAdmitted(kFirst, unpostedCharge(5), 5);
     EXPECT_EQ(balance(), 5);
