--- a/src/decision/quota/quota_admission.cpp
+++ b/src/decision/quota/quota_admission.cpp
@@ -55,9 +55,9 @@
     return sampler_.isUnavailable() ? StartResult::readyToDecide : StartResult::waitingForReply;
 }
 
-// Decides whether the request calls the counter and sets its charge accordingly. During congestion only a
-// sample of the requests does. If the tenant has made a call in this slice, its next call carries the cost of
-// unsampled requests. Otherwise the sample weight of the sampled requests covers the unsampled ones.
+// Decides whether the request calls the counter, and sets its charge accordingly. A congested counter is
+// called for a sample of the requests only. If this gateway has already posted a charge to the slice, its
+// next call carries the cost of unsampled requests. Otherwise the weights of the sampled requests cover them.
 bool QuotaAdmission::sampleRequest(EventContext& context, Tenant& tenant, const WindowSlice& current,
                                    Request& request) {
     const double cost = request.arrival.cost;
@@ -80,7 +80,7 @@
     const QuotaPlan& plan = usage_.planOf(tenant);
     const double utilization =
         std::clamp(window_.quotaUtilization(tenant, slice, now), kMinReplyUtilization, 1.0);
-    // The meter shows which few tenants are close to their quota, so their replies get most of the value.
+    // The meter shows which few tenants are close to their quota, so utilization has a higher weight.
     const double weight = usage_.reliesOnMeter(tenant) ? utilization * utilization : utilization;
     const double age =
         toSeconds(now - tenant.usage.totalReportedAt()) / (kFreshReplySliceShare * sliceSeconds(plan));
--- a/src/decision/quota/quota_window.cpp
+++ b/src/decision/quota/quota_window.cpp
@@ -27,7 +27,7 @@
     return slices.back();
 }
 
-// A new slice starts with the known debt of the preceding slice, until the counter reports its total.
+// Until the counter reports its total, a new slice has the known and estimated debt of the preceding slice.
 WindowSlice QuotaWindow::makeNextSlice(const Tenant& tenant, SliceIndex current) const {
     if (tenant.slices.empty()) return WindowSlice(previousSlice(current));
     const QuotaPlan& plan = usage_.planOf(tenant);
--- a/src/decision/quota/window_slice.h
+++ b/src/decision/quota/window_slice.h
@@ -86,7 +86,7 @@
 // Calls end in the order in which they began. The newest call in flight has cumulativePosted() == posted().
 class WindowSlice {
 public:
-    // `debt`: the known debt of the preceding slice.
+    // `debt`: the debt of the preceding slice, as far as it is known or estimated.
     explicit WindowSlice(SliceIndex index, const OpeningDebt& debt = {})
         : index_(index), total_(debt.inTotal), admittedSinceTotal_(debt.sinceTotal) {}
 
