--- a/src/decision/quota/quota_admission.cpp
+++ b/src/decision/quota/quota_admission.cpp
@@ -153,7 +153,7 @@
     bool fits = window_.remainingQuota(tenant, slice, total, now).covers(request.arrival.cost);
     // The counter is not called for this request, so a recent rejection by a counter reply applies to it too.
     const Duration sliceLength = fromSeconds(sliceSeconds(usage_.planOf(tenant)));
-    if (charge.coveredBySamples && now < tenant.rejectedAt + sliceLength) fits = false;
+    if (charge.coveredBySamples && now < tenant.exhaustedAt + sliceLength) fits = false;
     recordWindowDecision(tenant, charge, fits, now);
     return fits;
 }
@@ -161,11 +161,11 @@
 void QuotaAdmission::recordWindowDecision(Tenant& tenant, const QuotaCharge& charge, bool fits,
                                           TimePoint now) {
     if (charge.confirmed) {
-        tenant.rejectedAt = fits ? TimePoint{} : now;
+        tenant.exhaustedAt = fits ? TimePoint{} : now;
         double& rejectingShare = rejectingReplyShares_[toPosition(tenant.plan)];
         rejectingShare = movingAverage(rejectingShare, fits ? 0 : 1, kRejectingReplySmoothing);
     }
-    if (tenant.rejectedAt == now) tenant.usage.recordExhausted();
+    if (tenant.exhaustedAt == now) tenant.usage.recordExhausted();
 }
 
 bool QuotaAdmission::isWithinConcurrencyLimit(const Tenant& tenant, const QuotaPlan& plan) const {
--- a/src/decision/quota/tenant.h
+++ b/src/decision/quota/tenant.h
@@ -27,7 +27,7 @@
     std::vector<WindowSlice> slices;  // the previous and the current one; empty before the first charge
     TenantUsage usage;
     CeilingTokens ceiling;
-    TimePoint rejectedAt{};  // when a counter reply left no quota; the epoch if the latest reply left some
+    TimePoint exhaustedAt{};  // when a counter reply left no quota; the epoch if the latest one left some
     TimePoint lastRequestAt{};
 };
 
