--- a/src/decision/engine/decision_engine.cpp
+++ b/src/decision/engine/decision_engine.cpp
@@ -37,8 +37,8 @@
 
 }  // namespace
 
-// Owns the modules and routes each event to the one that handles it. The modules refer to one another, so
-// they are declared in the order of their dependencies and never move.
+// Owns the modules and routes each event to the one that handles it. The modules hold references to one
+// another, so they are declared in the order of their dependencies, and an Impl can't be copied or moved.
 class DecisionEngine::Impl {
 public:
     Impl(Settings settings, std::uint64_t seed);
@@ -124,7 +124,7 @@
     const std::optional<Timer> timer = timers_.take(id);
     if (!timer) return;
     const Overloaded handler{
-        [&](const CounterWaitOver& due) { lifecycle_.onCounterWaitOver(context, due); },
+        [&](const CounterWaitExpired& due) { lifecycle_.onCounterWaitExpired(context, due); },
         [&](const FlushDue& due) { ledger_.flush(context, due.slice); },
         [&](const DiscoveryRetryDue&) { EndpointWatch::onRetryDue(context); },
     };
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,5 +1,5 @@
-// The gateway's process. Exits with 0 after a graceful shutdown, and with 1 and one line on standard error if
-// its configuration can't be served.
+// The entry point of the gateway program. Exits with status 0 after a graceful shutdown. Exits with status 1
+// and one line on standard error if the configuration is invalid or the gateway cannot start.
 #include <exception>
 #include <iostream>
 
@@ -7,8 +7,7 @@
 
 int main() {
     try {
-        gateway::net::serve(gateway::net::configFromEnvironment(),
-                            [](const gateway::net::Config::Address&) {});
+        gateway::net::serve(gateway::net::loadConfig(), [](const gateway::net::Config::Address&) {});
     } catch (const std::exception& e) {
         std::cerr << "gateway: " << e.what() << '\n';
         return 1;
--- a/src/net/config/config.h
+++ b/src/net/config/config.h
@@ -21,7 +21,7 @@
     static constexpr Duration kInitialUpdateWait = std::chrono::milliseconds(500);
     static constexpr Duration kEmptyListWait = std::chrono::seconds(5);
     static constexpr Duration kReuseDelay = std::chrono::milliseconds(10);
-    static constexpr Duration kMaxPartialTime = std::chrono::seconds(2);
+    static constexpr Duration kRequestReadTimeout = std::chrono::seconds(2);
 
     // Time from SIGTERM until the listener closes. New clients connect until they notice the shutdown.
     Duration listenAfterShutdown = kListenAfterShutdown;
@@ -38,7 +38,7 @@
     // this time is detected instead of being taken for the response to the next request.
     Duration reuseDelay = kReuseDelay;
     // Time for a client to start the first request on a connection, and to send a request completely.
-    Duration maxPartialTime = kMaxPartialTime;
+    Duration requestReadTimeout = kRequestReadTimeout;
 };
 
 struct Config {
@@ -47,15 +47,15 @@
     std::string name;
     Address listen;
     Address discovery;
-    std::optional<Address> counter;  // set if Settings::counterEnabled
-    std::uint64_t seed = 0;          // of the random number generators
-    std::size_t sockets = 1024;      // file descriptors that the process may hold
+    std::optional<Address> counter;     // set if Settings::counterEnabled
+    std::uint64_t seed = 0;             // of the random number generators
+    std::size_t maxDescriptors = 1024;  // file descriptors that the process may hold
     Settings settings;
     std::vector<std::string> classNames;  // in the order of Settings::classes
     std::vector<std::string> planNames;   // in the order of Settings::plans
-    Duration keepAlive{};                 // an endpoint closes a connection that is idle for this long
+    Duration upstreamKeepAlive{};         // an endpoint closes a connection that is idle for this long
     EndpointVocabulary vocabulary;
-    EndpointList known;  // the endpoint list to start with; may be outdated
+    EndpointList cachedEndpoints;  // the endpoint list to start with; may be outdated
     Timing timing;
 };
 
@@ -69,6 +69,6 @@
 
 // Reads the configuration from the file that EDGE_CONFIG names and from the environment variables that
 // override it. Throws ConfigError.
-Config configFromEnvironment(ConfigLoad load = ConfigLoad::initial);
+Config loadConfig(ConfigLoad load = ConfigLoad::initial);
 
 }  // namespace gateway::net
--- a/src/net/discovery/discovery_client.cpp
+++ b/src/net/discovery/discovery_client.cpp
@@ -56,7 +56,7 @@
     closeAll();
 }
 
-void DiscoveryClient::moveTo(const tcp::endpoint& address) {
+void DiscoveryClient::changeAddress(const tcp::endpoint& address) {
     if (isStopped_ || address == options_.address) return;
     options_.address = address;
     needsSnapshot_ = true;
@@ -132,14 +132,16 @@
     try {
         return parseEndpointList(document, options_.vocabulary);
     } catch (const std::exception& e) {
-        log(LogLevel::warning, "discovery", e.what());
+        log(LogLevel::warning, "discovery",
+            std::string("received an invalid endpoint list: ") + e.what() +
+                "; keeping the last valid list and calling discovery again");
         throw;
     }
 }
 
 void DiscoveryClient::applyUpdate(const EndpointList& list) {
     options_.knownVersion = list.version;
-    options_.schedule.noteListReceived();
+    options_.schedule.recordListReceived();
     onUpdate_(list);
 }
 
--- a/src/net/discovery/endpoint_list.cpp
+++ b/src/net/discovery/endpoint_list.cpp
@@ -11,7 +11,7 @@
 constexpr double kMicrosPerMilli = 1e3;
 
 // Returns the index of the name, or names.size() if the name is unknown.
-int positionOf(const std::string& name, const std::vector<std::string>& names) {
+int indexOf(const std::string& name, const std::vector<std::string>& names) {
     return static_cast<int>(std::find(names.begin(), names.end(), name) - names.begin());
 }
 
@@ -23,9 +23,9 @@
                                                                 {"terminating", Availability::draining},
                                                                 {"terminated", Availability::removed}});
     if (entry.availability != Availability::removed || fields.has("address"))
-        endpoint.address = parseAddress(fields.text("address"), "address");
-    if (fields.has("zone")) entry.zone = ZoneId{positionOf(fields.text("zone"), vocabulary.zones)};
-    if (fields.has("type")) entry.kind = MachineKind{positionOf(fields.text("type"), vocabulary.kinds)};
+        endpoint.address = parseAddress(fields.text("address"), fields.pathTo("address"));
+    if (fields.has("zone")) entry.zone = ZoneId{indexOf(fields.text("zone"), vocabulary.zones)};
+    if (fields.has("type")) entry.kind = MachineKind{indexOf(fields.text("type"), vocabulary.kinds)};
     entry.cell = CellId{fields.integer("group", 0)};
     entry.weight = fields.number("weight", 1);
     entry.startedAt = TimePoint(Duration(std::llround(fields.number("since_ms", 0) * kMicrosPerMilli)));
@@ -38,13 +38,13 @@
     EndpointList list;
     list.version = fields.unsignedInteger("index");
     list.isSnapshot = fields.flag("snapshot");
-    fields.each("endpoints",
-                [&](const Fields& item) { list.endpoints.push_back(readEndpoint(item, vocabulary)); });
+    fields.forEach("endpoints",
+                   [&](const Fields& item) { list.endpoints.push_back(readEndpoint(item, vocabulary)); });
     return list;
 }
 
 EndpointList parseEndpointList(std::string_view text, const EndpointVocabulary& vocabulary) {
-    return readInput<EndpointListError>([&] {
+    return rethrowFieldErrorAs<EndpointListError>([&] {
         const Json document = parseJson(text, "targets");
         return readEndpointList(Fields(document, "targets"), vocabulary);
     });
@@ -60,7 +60,7 @@
         const auto address = boost::asio::ip::make_address(text.substr(0, colon), ec);
         if (parsed.ec == std::errc() && parsed.ptr == end && !ec) return {address, port};
     }
-    throw FieldError(place, "must be ADDRESS:PORT, not '" + text + "'");
+    throw FieldError(place, "must be IP-ADDRESS:PORT, found '" + text + "'");
 }
 
 }  // namespace gateway::net
--- a/src/net/discovery/poll_schedule.h
+++ b/src/net/discovery/poll_schedule.h
@@ -66,21 +66,22 @@
     // After a call failed because this process had no free descriptor. Such a call puts no load on discovery.
     Duration delayAfterDescriptorShortage();
 
-    // Must be called when a list was received. Ends the backoff and the urgent period.
-    void noteListReceived();
+    // Must be called when a list was received. Ends the backoff and the fast polling.
+    void recordListReceived();
 
 private:
-    PollSchedule(const PollSlots& slots, Duration usualPeriod, std::uint64_t seed);
+    PollSchedule(const PollSlots& slots, Duration regularPeriod, std::uint64_t seed);
 
-    bool isPolling() const { return usualPeriod_ > Duration::zero(); }
-    Duration startUrgentPeriod(TimePoint now, Duration length, Duration period);
+    bool isPolling() const { return regularPeriod_ > Duration::zero(); }
+    // Polls with `period` for the time `duration` from `now`. Returns the time until the next slot.
+    Duration startFastPolling(TimePoint now, Duration duration, Duration period);
     Duration untilSlot(TimePoint now, Duration period) const;
 
     PollSlots slots_;
-    Duration usualPeriod_;  // 0: push
-    // Until this time, failed calls are repeated with urgentPeriod_ if it is shorter than the usual period.
-    TimePoint urgentUntil_ = TimePoint::min();
-    Duration urgentPeriod_{};
+    Duration regularPeriod_;  // 0: push
+    // Until this time, failed calls are repeated with fastPollPeriod_ if it is shorter than regularPeriod_.
+    TimePoint fastPollUntil_ = TimePoint::min();
+    Duration fastPollPeriod_{};
     Backoff backoff_;
 };
 
--- a/src/net/server/component_options.cpp
+++ b/src/net/server/component_options.cpp
@@ -20,18 +20,18 @@
 
 ClientServer::Limits clientServerLimits(const Config& config) {
     ClientServer::Limits limits;
-    limits.connections = config.sockets * kClientDescriptorPercent / 100;
+    limits.connections = config.maxDescriptors * kClientDescriptorPercent / 100;
     limits.listenAfterShutdown = config.timing.listenAfterShutdown;
     limits.idleGracePeriod = config.timing.idleGracePeriod;
-    limits.maxPartialTime = config.timing.maxPartialTime;
+    limits.requestReadTimeout = config.timing.requestReadTimeout;
     return limits;
 }
 
 UpstreamPool::Limits upstreamPoolLimits(const Config& config, ReclaimDescriptor reclaimDescriptor) {
     UpstreamPool::Limits limits;
-    limits.connections = config.sockets * kUpstreamDescriptorPercent / 100;
+    limits.maxConnections = config.maxDescriptors * kUpstreamDescriptorPercent / 100;
     limits.connectTimeout = config.settings.connectTimeout;
-    limits.keepAlive = config.keepAlive;
+    limits.keepAlive = config.upstreamKeepAlive;
     limits.reuseDelay = config.timing.reuseDelay;
     limits.drainGracePeriod = config.settings.drainGracePeriod;
     limits.reclaimDescriptor = std::move(reclaimDescriptor);
@@ -47,7 +47,7 @@
 }
 
 DiscoveryClient::Options discoveryClientOptions(const Config& config, ReclaimDescriptor reclaimDescriptor) {
-    return {config.discovery, config.vocabulary, config.known.version, discoverySchedule(config),
+    return {config.discovery, config.vocabulary, config.cachedEndpoints.version, discoverySchedule(config),
             std::move(reclaimDescriptor)};
 }
 
--- a/tests/decision/engine/timer_table_test.cpp
+++ b/tests/decision/engine/timer_table_test.cpp
@@ -1,4 +1,3 @@
-// The timers of the engine and what each one is for.
 #include "decision/engine/timer_table.h"
 
 #include <gtest/gtest.h>
@@ -10,12 +9,12 @@
 
 TEST(TimerTableTest, ReturnsTimerOnce) {
     TimerTable timers;
-    const SetTimer action = timers.start(CounterWaitOver{RequestKey{7}}, std::chrono::milliseconds(20));
+    const SetTimer action = timers.start(CounterWaitExpired{RequestKey{7}}, std::chrono::milliseconds(20));
     EXPECT_EQ(action.delay, std::chrono::milliseconds(20));
 
     const auto timer = timers.take(action.timer);
     ASSERT_TRUE(timer);
-    EXPECT_EQ(std::get<CounterWaitOver>(*timer).request, RequestKey{7});
+    EXPECT_EQ(std::get<CounterWaitExpired>(*timer).request, RequestKey{7});
     EXPECT_FALSE(timers.take(action.timer));
 }
 
--- a/tests/integration/client_limits_test.cpp
+++ b/tests/integration/client_limits_test.cpp
@@ -1,4 +1,5 @@
-// Limits on client connections, in number and in time, of a whole gateway process.
+// Limits of a gateway process on the number of client connections and on the time that requests take to
+// arrive.
 #include <gtest/gtest.h>
 
 #include <list>
@@ -28,7 +29,7 @@
 }
 
 TEST_F(ClientLimitsTest, AnswersIncompleteRequestWith408AndCloses) {
-    options.timing.maxPartialTime = std::chrono::milliseconds(100);
+    options.timing.requestReadTimeout = std::chrono::milliseconds(100);
     const GatewayProcess gateway(options);
     Socket client = gateway.connectClient();
     client.write("GET /load HTTP/1.1\r\nHost:");
@@ -37,7 +38,7 @@
 }
 
 TEST_F(ClientLimitsTest, ClosesConnectionWithoutRequestAndKeepsUsedOne) {
-    options.timing.maxPartialTime = std::chrono::milliseconds(300);
+    options.timing.requestReadTimeout = std::chrono::milliseconds(300);
     const GatewayProcess gateway(options);
     Socket used = gateway.connectClient();
     expectReady(used);
@@ -50,7 +51,7 @@
     options.maxDescriptors = 40;
     const GatewayProcess gateway(options);
     std::list<Socket> clients;
-    for (int i = 0; i < 60; ++i) {  // more than the process may hold: the longest idle ones are closed
+    for (int i = 0; i < 60; ++i) {  // more than the limit: the gateway closes the longest idle ones
         clients.push_back(gateway.connectClient());
         expectReady(clients.back());
     }
--- a/tests/net/upstream/attempt_runner_reuse_test.cpp
+++ b/tests/net/upstream/attempt_runner_reuse_test.cpp
@@ -1,4 +1,4 @@
-// Idle connections as attempts use, evict and close them.
+// Tests how attempts reuse, evict and close idle connections.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -24,8 +24,8 @@
     EXPECT_EQ(receive(peer).find("GET /path HTTP/1.1\r\n"), 0U);
 }
 
-TEST_F(AttemptRunnerTest, EvictsIdleConnectionOfAnotherEndpointForNewOne) {
-    limits.connections = 1;
+TEST_F(AttemptRunnerTest, EvictsIdleConnectionOfOtherEndpointAtConnectionLimit) {
+    limits.maxConnections = 1;
     makeRunner();
     tcp::socket peer = startAndReceive();
     respond(peer);
@@ -47,15 +47,15 @@
     EXPECT_TRUE(isClosedWithoutBytes(peer));
 }
 
-TEST_F(AttemptRunnerTest, ClosesIdleConnectionWhenUnexpectedBytesCome) {
+TEST_F(AttemptRunnerTest, ClosesIdleConnectionThatReceivesBytes) {
     tcp::socket peer = startAndReceive();
     respond(peer);
     write(peer, kResponse);
     EXPECT_TRUE(isClosedWithoutBytes(peer));
-    EXPECT_EQ(idle.take(*endpoint), nullptr);
+    EXPECT_EQ(idleConnections.take(*endpoint), nullptr);
 }
 
-TEST_F(AttemptRunnerTest, KeepsIdleConnectionsWhenResponseCameDuringTimedOutAttempt) {
+TEST_F(AttemptRunnerTest, KeepsIdleConnectionsAfterTimeoutIfEndpointHasResponded) {
     options.timeout = milliseconds(200);
     const tcp::socket timedOut = startAndReceive();
     options.timeout = seconds(20);
@@ -63,10 +63,10 @@
     respond(answered);
     runUntil([&] { return ended.size() == 2U; });
     EXPECT_EQ(ended[1].result.outcome, Outcome::timedOut);
-    EXPECT_NE(idle.take(*endpoint), nullptr);
+    EXPECT_NE(idleConnections.take(*endpoint), nullptr);
 }
 
-TEST_F(AttemptRunnerTest, ClosesIdleConnectionsWhenNoResponseComesDuringTimedOutAttempt) {
+TEST_F(AttemptRunnerTest, ClosesIdleConnectionsAfterTimeoutWithoutAnyResponse) {
     tcp::socket first = startAndReceive();
     tcp::socket second = startAndReceive();
     respond(first);
--- a/tests/net/upstream/attempt_runner_test.cpp
+++ b/tests/net/upstream/attempt_runner_test.cpp
@@ -40,7 +40,7 @@
 }
 
 TEST_F(AttemptRunnerTest, EndsAtOnceIfEveryConnectionIsInUse) {
-    limits.connections = 1;
+    limits.maxConnections = 1;
     makeRunner();
     const tcp::socket peer = startAndReceive();
     const AttemptId second = start();
@@ -76,7 +76,7 @@
     EXPECT_NE(sent.find("\r\nIdempotency-Key: key\r\nContent-Length: 4\r\n\r\nbody"), std::string::npos);
 }
 
-TEST_F(AttemptRunnerTest, PassesOverInterimResponses) {
+TEST_F(AttemptRunnerTest, SkipsInterimResponses) {
     tcp::socket peer = startAndReceive();
     respond(peer, "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi");
     EXPECT_EQ(ended[0].result.outcome, Outcome::ok);
@@ -89,7 +89,7 @@
     EXPECT_EQ(ended[0].result.outcome, Outcome::reset);
 }
 
-TEST_F(AttemptRunnerTest, EndsAsResetOnUnterminatedResponse) {
+TEST_F(AttemptRunnerTest, EndsAsResetOnResponseThatIsNeverCompleted) {
     tcp::socket peer = startAndReceive();
     respond(peer, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nh");
     EXPECT_EQ(ended[0].result.outcome, Outcome::reset);
@@ -115,8 +115,8 @@
 
 // ---- Between connecting and sending ---------------------------------------------------------------
 
-TEST_F(AttemptRunnerTest, DoesNotSendUnwantedAttempt) {
-    isWanted = false;
+TEST_F(AttemptRunnerTest, DoesNotSendAttemptThatHookRefuses) {
+    shouldSend = false;
     start();
     tcp::socket peer = accept();
     EXPECT_EQ(waitForOutcome(), Outcome::notSent);
