--- a/src/decision/quota/ceiling_bucket.h
+++ b/src/decision/quota/ceiling_bucket.h
@@ -4,8 +4,8 @@
 // A request that is admitted after a reply stays within the quota, because the reported total includes the
 // cost that the other gateways have posted. A request that is admitted without a reply consumes tokens of
 // this gateway's share of the difference between ceiling and quota; the tokens are refunded when a later
-// reply shows that the request was within the quota. All n gateways together therefore forward at most quota
-// + n * (ceiling - quota) / n, however unevenly the tenant's requests are distributed.
+// reply shows that the request was within the quota. However unevenly the tenant's requests are distributed,
+// all n gateways together therefore forward at most quota + n * (ceiling - quota) / n, which is the ceiling.
 #pragma once
 
 #include "decision/quota/tenant.h"
