--- a/src/decision/engine/request_lifecycle.cpp
+++ b/src/decision/engine/request_lifecycle.cpp
@@ -43,13 +43,13 @@
 
 void RequestLifecycle::startAdmission(EventContext& context, Request& request) {
     switch (admission_.start(context, request)) {
-        case QuotaAdmission::Start::rejected:
+        case QuotaAdmission::StartResult::rejected:
             answerUnserved(context, request, admission_.retryAfter(request, context.now));
             break;
-        case QuotaAdmission::Start::decideNow:
+        case QuotaAdmission::StartResult::readyToDecide:
             decide(context, request);
             break;
-        case QuotaAdmission::Start::waiting:
+        case QuotaAdmission::StartResult::waitingForReply:
             waitForCounter(context, request);
             break;
     }
@@ -65,9 +65,9 @@
 
 void RequestLifecycle::onCounterReplied(EventContext& context, const CounterReplied& reply) {
     const CounterLedger::ReplyResult result = ledger_.onReply(context, reply);
-    recordAwaitedReply(context, result.charged, result.ok);
+    recordAwaitedReply(context, result.chargedRequest, result.ok);
     recordAwaitedReply(context, result.reader, result.ok);
-    ledger_.afterReply(context, result);
+    ledger_.scheduleFlushAfterReply(context, result);
 }
 
 void RequestLifecycle::recordAwaitedReply(EventContext& context, RequestKey key, bool ok) {
--- a/src/decision/quota/quota_admission.cpp
+++ b/src/decision/quota/quota_admission.cpp
@@ -33,9 +33,9 @@
 
 // ---- Arrival --------------------------------------------------------------------------------------
 
-QuotaAdmission::Start QuotaAdmission::start(EventContext& context, Request& request) {
+QuotaAdmission::StartResult QuotaAdmission::start(EventContext& context, Request& request) {
     Tenant& tenant = tenants_.touch(request.arrival, context.now);
-    if (usage_.planOf(tenant).rate <= 0) return Start::decideNow;
+    if (usage_.planOf(tenant).rate <= 0) return StartResult::readyToDecide;
     const double cost = request.arrival.cost;
     WindowSlice& current = window_.advance(tenant, context.now);
     request.charge.sliceIndex = current.index();
@@ -45,19 +45,19 @@
         // An immediate rejection posts no charge, so the totals that other gateways read don't include a
         // charge that is about to be refunded.
         if (!window_.remainingQuota(tenant, current, current.total(), context.now).covers(cost))
-            return Start::rejected;
+            return StartResult::rejected;
     }
-    if (!settings_.counterEnabled) return Start::decideNow;
+    if (!settings_.counterEnabled) return StartResult::readyToDecide;
     const bool sampled = sampleRequest(context, tenant, current, request);
-    if (!sampled) return Start::decideNow;
+    if (!sampled) return StartResult::readyToDecide;
     ledger_.postCharge(context, tenant, current, request);
     // Calls to an unavailable counter only detect its recovery; no request waits for their replies.
-    return sampler_.isUnavailable() ? Start::decideNow : Start::waiting;
+    return sampler_.isUnavailable() ? StartResult::readyToDecide : StartResult::waitingForReply;
 }
 
-// Decides whether the request calls the counter and sets its charge accordingly. During congestion only a
-// sample of the requests does. If the tenant has made a call in this slice, its next call carries the cost of
-// unsampled requests. Otherwise the sample weight of the sampled requests covers the unsampled ones.
+// Decides whether the request calls the counter, and sets its charge accordingly. A congested counter is
+// called for a sample of the requests only. If this gateway has already posted a charge to the slice, its
+// next call carries the cost of unsampled requests. Otherwise the weights of the sampled requests cover them.
 bool QuotaAdmission::sampleRequest(EventContext& context, Tenant& tenant, const WindowSlice& current,
                                    Request& request) {
     const double cost = request.arrival.cost;
@@ -80,7 +80,7 @@
     const QuotaPlan& plan = usage_.planOf(tenant);
     const double utilization =
         std::clamp(window_.quotaUtilization(tenant, slice, now), kMinReplyUtilization, 1.0);
-    // The meter shows which few tenants are close to their quota, so their replies get most of the value.
+    // The meter shows which few tenants are close to their quota, so utilization has a higher weight.
     const double weight = usage_.reliesOnMeter(tenant) ? utilization * utilization : utilization;
     const double age =
         toSeconds(now - tenant.usage.totalReportedAt()) / (kFreshReplySliceShare * sliceSeconds(plan));
@@ -153,7 +153,7 @@
     bool fits = window_.remainingQuota(tenant, slice, total, now).covers(request.arrival.cost);
     // The counter is not called for this request, so a recent rejection by a counter reply applies to it too.
     const Duration sliceLength = fromSeconds(sliceSeconds(usage_.planOf(tenant)));
-    if (charge.coveredBySamples && now < tenant.rejectedAt + sliceLength) fits = false;
+    if (charge.coveredBySamples && now < tenant.exhaustedAt + sliceLength) fits = false;
     recordWindowDecision(tenant, charge, fits, now);
     return fits;
 }
@@ -161,11 +161,11 @@
 void QuotaAdmission::recordWindowDecision(Tenant& tenant, const QuotaCharge& charge, bool fits,
                                           TimePoint now) {
     if (charge.confirmed) {
-        tenant.rejectedAt = fits ? TimePoint{} : now;
+        tenant.exhaustedAt = fits ? TimePoint{} : now;
         double& rejectingShare = rejectingReplyShares_[toPosition(tenant.plan)];
         rejectingShare = movingAverage(rejectingShare, fits ? 0 : 1, kRejectingReplySmoothing);
     }
-    if (tenant.rejectedAt == now) tenant.usage.recordExhausted();
+    if (tenant.exhaustedAt == now) tenant.usage.recordExhausted();
 }
 
 bool QuotaAdmission::isWithinConcurrencyLimit(const Tenant& tenant, const QuotaPlan& plan) const {
--- a/tests/decision/quota/quota_admission_test.cpp
+++ b/tests/decision/quota/quota_admission_test.cpp
@@ -27,7 +27,7 @@
     EngineFixture gateway = startGateway();
     gateway.isCounterAnswering = false;
     for (int i = 0; i < kRequests; ++i) {
-        request(gateway, {.tenant = static_cast<std::uint64_t>(i % kTenants)});
+        sendRequest(gateway, {.tenant = static_cast<std::uint64_t>(i % kTenants)});
         gateway.advance(milliseconds(5));
         gateway.failUnansweredAdds(Outcome::connectFailed);
     }
@@ -40,17 +40,17 @@
 TEST_F(QuotaAdmissionTest, AdmitsAShareOfTheQuotaWhenTheCounterIsDisabled) {
     settings().counterEnabled = false;
     EngineFixture gateway = startGateway();
-    requestTimes(gateway, 12);
+    sendRequests(gateway, 12);
     EXPECT_EQ(gateway.addCount, 0);
     EXPECT_GE(gateway.sends.size(), 3u);
     EXPECT_LE(gateway.sends.size(), 5u);
 }
 
-TEST_F(QuotaAdmissionTest, RejectsBeyondItsShareOfAttemptsInFlight) {
+TEST_F(QuotaAdmissionTest, RejectsBeyondItsShareOfTheConcurrencyLimit) {
     plan() = QuotaPlan{};
     plan().concurrency = 4;  // for two gateways together
     EngineFixture gateway = startGateway();
-    requestTimes(gateway, 6);
+    sendRequests(gateway, 6);
     EXPECT_EQ(gateway.sends.size(), 2u);
     endSuccessfully(gateway, gateway.sends[0]);
     gateway.request();
@@ -74,13 +74,13 @@
 
 // If an over-quota request earns more than it costs, no request is rejected because of estimated remote
 // usage.
-TEST_P(RemoteUsageEstimateTest, RejectsOnlyWhereAnOverQuotaRequestCosts) {
+TEST_P(RemoteUsageEstimateTest, RejectsForRemoteUsageOnlyIfOverQuotaRequestsCost) {
     constexpr int kRequests = 7;
     plan().overQuotaWeight = GetParam().overQuotaWeight;
     EngineFixture gateway = startGateway();
     gateway.isCounterAnswering = false;
     for (int i = 0; i < kRequests; ++i) {
-        request(gateway, {.entryPoints = 4});
+        sendRequest(gateway, {.entryPoints = 4});
         gateway.failUnansweredAdds(Outcome::timedOut);
     }
     EXPECT_EQ(gateway.sends.size() == kRequests, GetParam().isAdmittedBeyondEstimate);
@@ -107,7 +107,7 @@
         gateway.isCounterAnswering = false;
         for (int i = 0; i < kRequests; ++i) {
             const std::size_t before = gateway.sends.size();
-            request(gateway, {.entryPoints = kLargeFleetEntryPoints});
+            sendRequest(gateway, {.entryPoints = kLargeFleetEntryPoints});
             gateway.failUnansweredAdds(Outcome::connectFailed);
             gateway.advance(milliseconds(50));
             if (gateway.sends.size() > before) endLatestWithMeter(gateway, 100);
@@ -118,7 +118,7 @@
 
 // The meter of a tenant that is limited to its quota reads 100% however high the demand is. If every gateway
 // of a large fleet admitted all requests without a reply, they would exceed the quota.
-TEST_F(MeteredAdmissionTest, AdmitsFewerUnsampledRequestsWhereAnOverQuotaRequestCosts) {
+TEST_F(MeteredAdmissionTest, AdmitsFewerUnconfirmedRequestsIfOverQuotaRequestsCost) {
     EXPECT_GT(admittedShare(0), 0.95);
     EXPECT_LT(admittedShare(1), 0.45);
     EXPECT_GT(admittedShare(1), 0.2);
@@ -137,14 +137,14 @@
         EngineFixture gateway = startGateway(kManyEndpoints);
         gateway.isCounterAnswering = false;
         for (int i = 0; i < kAnsweredRequests; ++i) {
-            playRequest(gateway, i, [&] {
+            runRequest(gateway, i, [&] {
                 while (!gateway.unansweredAdds.empty()) answerOldestCall(gateway, total);
             });
         }
         gateway.sends.clear();
         for (int i = 0; i < kUnansweredRequests; ++i) {
-            playRequest(gateway, kAnsweredRequests + i,
-                        [&] { gateway.failUnansweredAdds(Outcome::connectFailed); });
+            runRequest(gateway, kAnsweredRequests + i,
+                       [&] { gateway.failUnansweredAdds(Outcome::connectFailed); });
         }
         return static_cast<double>(gateway.sends.size()) / kUnansweredRequests;
     }
@@ -155,10 +155,10 @@
 
     // Sends a request of a new tenant, completes its calls to the counter and ends its attempt.
     template <class CompleteCalls>
-    static void playRequest(EngineFixture& gateway, int number, CompleteCalls completeCalls) {
+    static void runRequest(EngineFixture& gateway, int number, CompleteCalls completeCalls) {
         const std::size_t before = gateway.sends.size();
         const std::uint64_t tenant = 5 + static_cast<std::uint64_t>(number);
-        request(gateway, {.tenant = tenant, .entryPoints = kLargeFleetEntryPoints});
+        sendRequest(gateway, {.tenant = tenant, .entryPoints = kLargeFleetEntryPoints});
         completeCalls();
         if (gateway.sends.size() > before) endSuccessfully(gateway, gateway.sends.back());
         gateway.advance(milliseconds(50));
@@ -167,7 +167,7 @@
 
 // Without a meter, the usage of a tenant with low local traffic is unknown. The probability that its request
 // exceeds the quota is estimated from the counter replies for other tenants of the plan.
-TEST_F(UnmeteredAdmissionTest, AdmitsUnsampledRequestsByTheRemainingQuotaOfOtherTenants) {
+TEST_F(UnmeteredAdmissionTest, AdmitsUnconfirmedRequestsByTheQuotaLeftToOtherTenants) {
     EXPECT_GT(admittedShare(kTotalWithinQuota, 1), 0.95);
     EXPECT_GT(admittedShare(kTotalBeyondQuota, 0), 0.95);  // an over-quota request costs nothing
     EXPECT_LT(admittedShare(kTotalBeyondQuota, 1), 0.2);
--- a/tests/decision/quota/tenant_usage_test.cpp
+++ b/tests/decision/quota/tenant_usage_test.cpp
@@ -69,14 +69,14 @@
     EXPECT_NEAR(usage.meteredUtilization(), 0.2, 1e-3);
 }
 
-TEST_F(TenantUsageTest, ExhaustedQuotaIsInUseAtLeastWhole) {
+TEST_F(TenantUsageTest, ExhaustedQuotaRaisesUtilizationToAtLeastOne) {
     usage.assumeInitialUtilization();
     usage.recordExhausted();
     EXPECT_EQ(usage.meteredUtilization(), 1);
     usage.recordMeter(300);
-    const double beyond = usage.meteredUtilization();
+    const double utilizationBeyondQuota = usage.meteredUtilization();
     usage.recordExhausted();
-    EXPECT_EQ(usage.meteredUtilization(), beyond);
+    EXPECT_EQ(usage.meteredUtilization(), utilizationBeyondQuota);
 }
 
 }  // namespace
