--- a/src/settings/input_error.h
+++ b/src/settings/input_error.h
@@ -44,7 +44,7 @@
 };
 
 // An invalid line from the simulator.
-class WireError final : public InputError {
+class SimulatorInputError final : public InputError {
     using InputError::InputError;
 };
 
--- a/src/simulator/wire_server.cpp
+++ b/src/simulator/wire_server.cpp
@@ -28,13 +28,14 @@
                 out.flush();
             }
         } catch (const FieldError& e) {
-            throw WireError(place + e.place(), e.reason());
+            throw SimulatorInputError(place + e.place(), e.reason());
         } catch (const Json::exception& e) {
-            throw WireError(place + "JSON", e.what());
+            throw SimulatorInputError(place + "JSON", e.what());
         }
     }
     if (server.isInBatch())
-        throw WireError("end of input", "the last batch has not ended: an eofBatch message is missing");
+        throw SimulatorInputError("end of input",
+                                  "the last batch has not ended: an eofBatch message is missing");
 }
 
 }  // namespace gateway::simulator
--- a/tests/simulator/wire_server_test.cpp
+++ b/tests/simulator/wire_server_test.cpp
@@ -45,7 +45,7 @@
 std::string errorOf(const std::string& input) {
     try {
         replyTo(input);
-    } catch (const WireError& e) {
+    } catch (const SimulatorInputError& e) {
         return e.what();
     }
     return "";
@@ -109,15 +109,15 @@
     return enlist.replace(enlist.find(rate), rate.size(), "\"perSecond\":-2.0");
 }
 
-class WireErrorTest : public testing::TestWithParam<ErrorCase> {};
+class SimulatorInputErrorTest : public testing::TestWithParam<ErrorCase> {};
 
-TEST_P(WireErrorTest, NamesPlaceAndReason) {
+TEST_P(SimulatorInputErrorTest, NamesPlaceAndReason) {
     const std::string error = errorOf(GetParam().input);
     EXPECT_NE(error.find(GetParam().error), std::string::npos) << error;
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Lines, WireErrorTest,
+    Lines, SimulatorInputErrorTest,
     testing::Values(
         ErrorCase{"NotJson", kStart + "{oops\n", "line 5: message: is not valid JSON"},
         ErrorCase{"UnknownGateway", batch("{\"mystery\":{\"gatekeeper\":3}}\n"), "gateway 3 is not enlisted"},
