--- a/src/simulator/wire_writer.cpp
+++ b/src/simulator/action_writer.cpp
@@ -1,4 +1,4 @@
-#include "simulator/wire_writer.h"
+#include "simulator/action_writer.h"
 
 #include <chrono>
 #include <cstdint>
--- a/src/simulator/batch_server.cpp
+++ b/src/simulator/batch_server.cpp
@@ -4,8 +4,8 @@
 #include <variant>
 
 #include "settings/settings_json.h"
-#include "simulator/wire_reader.h"
-#include "simulator/wire_writer.h"
+#include "simulator/action_writer.h"
+#include "simulator/event_reader.h"
 
 namespace gateway::simulator {
 namespace {
--- a/src/simulator/wire_reader.cpp
+++ b/src/simulator/event_reader.cpp
@@ -1,4 +1,4 @@
-#include "simulator/wire_reader.h"
+#include "simulator/event_reader.h"
 
 #include <utility>
 
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -2,7 +2,7 @@
 #include <exception>
 #include <iostream>
 
-#include "simulator/wire_server.h"
+#include "simulator/stream_server.h"
 
 int main() {
     std::ios::sync_with_stdio(false);
--- a/src/simulator/wire_server.cpp
+++ b/src/simulator/stream_server.cpp
@@ -1,4 +1,4 @@
-#include "simulator/wire_server.h"
+#include "simulator/stream_server.h"
 
 #include <cstddef>
 #include <optional>
--- a/tests/simulator/wire_server_test.cpp
+++ b/tests/simulator/stream_server_test.cpp
@@ -1,5 +1,5 @@
 // The simulator adapter: batches of messages in, replies and errors out.
-#include "simulator/wire_server.h"
+#include "simulator/stream_server.h"
 
 #include <gtest/gtest.h>
 
@@ -51,11 +51,11 @@
     return "";
 }
 
-TEST(WireServerTest, AnswersEmptyBatchWithReady) {
+TEST(StreamServerTest, AnswersEmptyBatchWithReady) {
     EXPECT_EQ(replyTo(batch("")), "{\"ready\":{}}\n");
 }
 
-TEST(WireServerTest, AnswersRequestWithCounterCallOfItsGateway) {
+TEST(StreamServerTest, AnswersRequestWithCounterCallOfItsGateway) {
     const std::string reply =
         replyTo(kStart + batch(R"({"knock":{"gatekeeper":3,"corr":"a-b","priority":0,"contract":0,)"
                                R"("account":77,"notAfterS":10.5,)"
@@ -78,13 +78,13 @@
     EXPECT_EQ(name, "ready");
 }
 
-TEST(WireServerTest, ForgetsGatewayAfterShutdown) {
+TEST(StreamServerTest, ForgetsGatewayAfterShutdown) {
     EXPECT_EQ(errorOf(kStart + batch(kShutdown)), "");
     EXPECT_NE(errorOf(kStart + batch(kShutdown) + batch(kLapsed)).find("gateway 3 is not enlisted"),
               std::string::npos);
 }
 
-TEST(WireServerTest, IgnoresUnknownIdsAndMessagesOfPeers) {
+TEST(StreamServerTest, IgnoresUnknownIdsAndMessagesOfPeers) {
     EXPECT_EQ(
         errorOf(kStart + batch(kLapsed + "{\"bell\":{\"gatekeeper\":3,\"ref\":\"99\"}}\n"
                                          "{\"memo\":{\"gatekeeper\":3,\"author\":0,\"octets\":\"6869\"}}\n")),
@@ -160,7 +160,7 @@
     return input;
 }
 
-TEST(WireServerTest, PeerMessagesAndHealthChecksDoNotChangeDecisions) {
+TEST(StreamServerTest, PeerMessagesAndHealthChecksDoNotChangeDecisions) {
     const std::string reply = replyTo(requestsOfTenants(false));
     EXPECT_NE(reply.find("postAmount"), std::string::npos);
     EXPECT_EQ(replyTo(requestsOfTenants(true)), reply);
