--- a/src/decision/engine/endpoint_watch.cpp
+++ b/src/decision/engine/endpoint_watch.cpp
@@ -6,7 +6,7 @@
 namespace gateway {
 namespace {
 
-// Tries within the longest poll interval while discovery can't be reached.
+// Retries within the max poll interval while discovery can't be reached.
 constexpr int kRetriesPerPollInterval = 8;
 constexpr Duration kMinRetryDelay = std::chrono::milliseconds(200);
 
@@ -22,11 +22,11 @@
     }
     if (settings_.discovery == DiscoveryMode::poll) startOnce(context);
     endpoints_.apply(update, context.now);
-    limiter_.initializeLimit(endpoints_.listedCount());
+    limiter_.initializeLimit(endpoints_.endpointCount());
 }
 
 void EndpointWatch::onRetryDue(EventContext& context) {
-    context.act(WatchEndpoints{});
+    context.emit(WatchEndpoints{});
 }
 
 void EndpointWatch::scheduleRetry(EventContext& context) const {
@@ -37,7 +37,7 @@
 void EndpointWatch::startOnce(EventContext& context) {
     if (started_) return;
     started_ = true;
-    context.act(WatchEndpoints{});
+    context.emit(WatchEndpoints{});
 }
 
 }  // namespace gateway
--- a/src/decision/quota/counter_ledger.cpp
+++ b/src/decision/quota/counter_ledger.cpp
@@ -20,14 +20,14 @@
 // Whether the counter has counted a call, or most likely has. A congested counter still processes calls that
 // have timed out, and posting such a call again could exhaust the tenant's quota. If the call was lost after
 // all, the next total is lower than the posted cost.
-bool wasCounted(Outcome outcome) {
+bool isLikelyCounted(Outcome outcome) {
     return outcome == Outcome::ok || outcome == Outcome::timedOut || outcome == Outcome::reset;
 }
 
 // Records the outcome of the call that posted the request's charge.
 void recordChargeReply(Request& request, Outcome outcome) {
     QuotaCharge& charge = request.charge;
-    charge.posted = wasCounted(outcome);
+    charge.posted = isLikelyCounted(outcome);
     charge.confirmed = outcome == Outcome::ok;
     // A call that was not counted covers no unsampled requests, so the sample weight no longer applies.
     if (!charge.posted) charge.amount = request.arrival.cost;
@@ -45,8 +45,8 @@
 
 void CounterLedger::post(EventContext& context, const Tenant& tenant, const WindowSlice& slice,
                          const CounterCall& call) {
-    context.act(AddToCounter{formatSliceKey({tenant.id, slice.index()}), call.amount(),
-                             counterNameLifetime(usage_.planOf(tenant))});
+    context.emit(AddToCounter{formatSliceKey({tenant.id, slice.index()}), call.amount(),
+                              counterNameLifetime(usage_.planOf(tenant))});
 }
 
 CounterLedger::ReplyResult CounterLedger::onReply(EventContext& context, const CounterReplied& reply) {
@@ -61,7 +61,7 @@
     result.slicePosition = static_cast<std::size_t>(slice - tenant->slices.data());
     const CounterCall call = slice->endOldestCall();
     result.reader = call.reader();
-    if (!wasCounted(reply.outcome)) slice->withdraw(call);
+    if (!isLikelyCounted(reply.outcome)) slice->rollBack(call);
     if (result.ok) applyTotal(*tenant, *slice, call, reply.total, context.now);
     if (result.ok && call.reader() != RequestKey::none) carryDebt(context, *tenant, *slice);
     Request* request = requests_.find(call.request());
@@ -78,7 +78,7 @@
     if (tenant == nullptr || !result.slicePosition || !result.ok) return;
     if (*result.slicePosition >= tenant->slices.size()) return;
     WindowSlice& slice = tenant->slices[*result.slicePosition];
-    if (slice.hasPending()) scheduleFlush(context, *tenant, slice);
+    if (slice.hasPendingAmounts()) scheduleFlush(context, *tenant, slice);
 }
 
 void CounterLedger::applyTotal(Tenant& tenant, WindowSlice& slice, const CounterCall& call, double total,
@@ -96,7 +96,7 @@
 // A total below the cost that this gateway has posted shows that the counter lost counts. With
 // reconciliation, refunds by other gateways lower the total too, so the threshold is higher.
 double CounterLedger::lostCost(const QuotaPlan& plan, const CounterCall& call, double total) const {
-    const double shortage = call.postedUpToHere() - total;
+    const double shortage = call.cumulativePosted() - total;
     const double minLost = settings_.reconciliationEnabled
                                ? std::max(settings_.maxRequestCost, kMinLostBurstShare * plan.burst)
                                : kMinLostCost;
@@ -110,7 +110,7 @@
     WindowSlice* closed = findSlice(tenant, previousSlice(request.charge.sliceIndex));
     if (closed == nullptr || !shouldReadClosedSlice(tenant, *closed, context.now)) return;
     const bool openedSlice =
-        call.postedUpToHere() == call.charge() && reply.total <= call.charge() + kOpeningCostMargin;
+        call.cumulativePosted() == call.charge() && reply.total <= call.charge() + kOpeningCostMargin;
     if (!openedSlice) return;
     post(context, tenant, *closed, closed->beginReadCall(request.key));
     ++request.charge.pendingReplies;
@@ -187,7 +187,7 @@
     if (slice == nullptr) return;
     slice->setFlushScheduled(false);
     // While the counter is unavailable, the amounts stay pending until the next call for the slice.
-    if (!slice->hasPending() || sampler_.isUnavailable()) return;
+    if (!slice->hasPendingAmounts() || sampler_.isUnavailable()) return;
     if (shouldSampleReconciliations(*tenant, *slice)) {
         const bool sampled = samplePendingCharge(context, *slice);
         if (!sampled) return;
--- a/src/net/client/client_session.cpp
+++ b/src/net/client/client_session.cpp
@@ -23,11 +23,11 @@
       clock_(clock),
       acceptedAt_(clock.now()) {}
 
-Duration ClientSession::stuckFor(TimePoint now) const {
+Duration ClientSession::stalledFor(TimePoint now) const {
     if (isBusy_ || isLingering_) return {};
     if (!allWritten()) return now - blockedAt_;
     if (!reader_.isPartial()) return {};
-    return now - (isFresh() ? acceptedAt_ : reader_.startedAt());
+    return now - (isBeforeFirstResponse() ? acceptedAt_ : reader_.startedAt());
 }
 
 // ---- Responses ------------------------------------------------------------------------------------
@@ -39,7 +39,7 @@
     output_.clear();
     appendResponse(output_, response, staysOpen);
     send(output_);
-    activeAt_ = steady_clock::now();
+    lastActiveAt_ = steady_clock::now();
     if (!allWritten()) blockedAt_ = clock_.now();
     if (!staysOpen) {
         linger();
@@ -99,8 +99,8 @@
 // ---- Requests -------------------------------------------------------------------------------------
 
 void ClientSession::onReceived() {
-    activeAt_ = steady_clock::now();
-    reader_.noteReceived(input().size(), clock_.now());
+    lastActiveAt_ = steady_clock::now();
+    reader_.recordReceived(input().size(), clock_.now());
     if (!isBusy_) {
         readNext();
         return;
@@ -118,7 +118,7 @@
             continueIncompleteRequest();
             break;
         case ClientRequestReader::Progress::rejected:
-            answerAndClose(reader_.rejection());
+            answerAndClose(reader_.rejectionStatus());
             break;
         case ClientRequestReader::Progress::complete: {
             const HttpRequest message = reader_.takeRequest();
--- a/src/net/upstream/upstream_connection.cpp
+++ b/src/net/upstream/upstream_connection.cpp
@@ -15,11 +15,10 @@
 
 namespace {
 
-constexpr int kMaxInterimResponses = 8;  // 1xx responses ahead of a final one
-// From the first bytes of a response. A response can be without end: its head may not end, or may announce
-// more bytes than come.
+constexpr int kMaxInterimResponses = 8;  // 1xx responses before a final one
+// Counted from the first bytes of a response. Ends responses that never complete.
 constexpr Duration kMaxResponseTime = std::chrono::milliseconds(200);
-constexpr std::size_t kUsualHeadBytes = 320;
+constexpr std::size_t kTypicalHeaderBytes = 320;
 
 bool isInterim(const HttpResponse& message) {
     return message.result_int() < static_cast<unsigned>(http::status::ok);
@@ -50,7 +49,7 @@
 void UpstreamConnection::write(const ForwardedRequest& request, std::chrono::milliseconds timeout) {
     const auto timeoutMs = std::max<long long>(1, timeout.count());
     std::string text;
-    text.reserve(kUsualHeadBytes + request.target.size() + request.body.size());
+    text.reserve(kTypicalHeaderBytes + request.target.size() + request.body.size());
     text.append(request.method).append(" ").append(request.target).append(" HTTP/1.1\r\nHost: ");
     text.append(request.host).append("\r\nRequest-Id: ").append(request.id);
     text.append("\r\nRequest-Timeout-Ms: ").append(std::to_string(timeoutMs));
@@ -58,7 +57,7 @@
     if (request.method != "GET")
         text.append("\r\nContent-Length: ").append(std::to_string(request.body.size()));
     text.append("\r\n\r\n").append(request.body);
-    writtenBefore_ = written();
+    bytesWrittenBefore_ = written();
     send(text);
 }
 
@@ -71,11 +70,11 @@
 }
 
 void UpstreamConnection::onReceived() {
-    if (attempt_ == AttemptId::none) {  // else the bytes would be taken for the next request's response
+    if (attempt_ == AttemptId::none) {  // the bytes belong to no request
         observer_.onUnexpectedInput(self());
         return;
     }
-    if (written() == writtenBefore_) {  // a response to a request of which no byte was written
+    if (written() == bytesWrittenBefore_) {  // no byte of the request was written yet
         closeAsBroken();
         return;
     }
@@ -85,7 +84,7 @@
         case ParseProgress::incomplete:
             limitResponseTime();
             break;
-        case ParseProgress::interim:  // the final response has a time limit of its own
+        case ParseProgress::interim:  // the time limit starts with the final response
             break;
         case ParseProgress::complete:
             finishResponse();
@@ -96,14 +95,15 @@
     }
 }
 
-// Consumes input for the response in hand. After an interim response, the next one is in hand.
+// Parses input for the current response and consumes it. After an interim response, the next response becomes
+// the current one.
 UpstreamConnection::ParseProgress UpstreamConnection::parseInput() {
     error_code ec;
     const std::size_t used = parser_->put(input().data(), ec);
     input().consume(used);
     if (announcesBodyOver(*parser_, kMaxBodyBytes)) return ParseProgress::malformed;
     if (ec == http::error::need_more) return ParseProgress::incomplete;
-    // A response that ends with its connection may have been truncated.
+    // A response without a length ends with the connection, so a truncated one can't be detected.
     if (ec || parser_->need_eof()) return ParseProgress::malformed;
     if (!parser_->is_done()) return ParseProgress::incomplete;
     if (!isInterim(parser_->get())) return ParseProgress::complete;
--- a/src/settings/json_fields.cpp
+++ b/src/settings/json_fields.cpp
@@ -13,22 +13,27 @@
     return Duration(std::llround(seconds * kMicrosPerSecond));
 }
 
+// Returns the reason of an error, for example "must be a number, found string".
+std::string wrongType(const char* expected, const Json& found) {
+    return std::string("must be ") + expected + ", found " + found.type_name();
+}
+
 }  // namespace
 
 Json parseJson(std::string_view text, const std::string& place) {
     try {
         return Json::parse(text);
     } catch (const Json::parse_error& e) {
-        throw FieldError(place, std::string("not JSON: ") + e.what());
+        throw FieldError(place, std::string("is not valid JSON: ") + e.what());
     }
 }
 
 Fields::Fields(const Json& object, std::string path) : object_(object), path_(std::move(path)) {
-    if (!object_.is_object()) complain("", "must be an object");
+    if (!object_.is_object()) throwError("", wrongType("an object", object_));
 }
 
-void Fields::complain(const std::string& key, const std::string& reason) const {
-    throw FieldError(key.empty() ? path_ : path_ + "." + key, reason);
+void Fields::throwError(const std::string& key, const std::string& reason) const {
+    throw FieldError(key.empty() ? path_ : pathTo(key), reason);
 }
 
 // ---- Fields of any type ---------------------------------------------------------------------------
@@ -38,21 +43,21 @@
     return found == object_.end() || found->is_null() ? nullptr : &*found;
 }
 
-const Json& Fields::need(const char* key) const {
+const Json& Fields::at(const char* key) const {
     const Json* const value = find(key);
-    if (value == nullptr) complain(key, "is missing");
+    if (value == nullptr) throwError(key, "is missing");
     return *value;
 }
 
 // ---- Numbers --------------------------------------------------------------------------------------
 
 double Fields::asNumber(const char* key, const Json& value) const {
-    if (!value.is_number()) complain(key, "must be a number");
+    if (!value.is_number()) throwError(key, wrongType("a number", value));
     return value.get<double>();
 }
 
 double Fields::number(const char* key) const {
-    return asNumber(key, need(key));
+    return asNumber(key, at(key));
 }
 
 double Fields::number(const char* key, double defaultValue) const {
@@ -61,14 +66,15 @@
 }
 
 std::uint64_t Fields::unsignedInteger(const char* key) const {
-    const Json& value = need(key);
+    const Json& value = at(key);
     if (!value.is_number_integer() || (!value.is_number_unsigned() && value.get<std::int64_t>() < 0))
-        complain(key, "must be a whole number of 0 or more");
+        throwError(key, "must be a whole number of 0 or more");
     return value.get<std::uint64_t>();
 }
 
 int Fields::asInteger(const char* key, double value) const {
-    if (value != std::floor(value) || std::abs(value) > kMaxInteger) complain(key, "must be a whole number");
+    if (value != std::floor(value) || std::abs(value) > kMaxInteger)
+        throwError(key, "must be a whole number from -2000000000 to 2000000000");
     return static_cast<int>(value);
 }
 
@@ -103,13 +109,13 @@
 bool Fields::flag(const char* key) const {
     const Json* const value = find(key);
     if (value == nullptr) return false;
-    if (!value->is_boolean()) complain(key, "must be true or false");
+    if (!value->is_boolean()) throwError(key, wrongType("true or false", *value));
     return value->get<bool>();
 }
 
 const std::string& Fields::text(const char* key) const {
-    const Json& value = need(key);
-    if (!value.is_string()) complain(key, "must be text");
+    const Json& value = at(key);
+    if (!value.is_string()) throwError(key, wrongType("a string", value));
     return value.get_ref<const std::string&>();
 }
 
@@ -120,17 +126,17 @@
 // ---- Objects and arrays ---------------------------------------------------------------------------
 
 Fields Fields::object(const char* key) const {
-    return Fields(need(key), path_ + "." + key);
+    return Fields(at(key), pathTo(key));
 }
 
-const Json& Fields::needList(const char* key) const {
-    const Json& list = need(key);
-    if (!list.is_array()) complain(key, "must be a list");
+const Json& Fields::arrayAt(const char* key) const {
+    const Json& list = at(key);
+    if (!list.is_array()) throwError(key, wrongType("an array", list));
     return list;
 }
 
 std::string Fields::itemPath(const char* key, std::size_t index) const {
-    return path_ + "." + key + "[" + std::to_string(index) + "]";
+    return pathTo(key) + "[" + std::to_string(index) + "]";
 }
 
 }  // namespace gateway
--- a/src/settings/json_fields.h
+++ b/src/settings/json_fields.h
@@ -37,14 +37,17 @@
     Fields(const Json& object, std::string path);
 
     // Throws FieldError for a field of this object, or for the object itself if `key` is empty.
-    [[noreturn]] void complain(const std::string& key, const std::string& reason) const;
+    [[noreturn]] void throwError(const std::string& key, const std::string& reason) const;
+
+    // Returns the path of a field of this object, for errors about its value.
+    std::string pathTo(const std::string& key) const { return path_ + "." + key; }
 
     // Returns null if the field is missing.
     const Json* find(const char* key) const;
     bool has(const char* key) const { return find(key) != nullptr; }
 
     // Returns the field, of any type. Throws FieldError if it is missing.
-    const Json& need(const char* key) const;
+    const Json& at(const char* key) const;
 
     double number(const char* key) const;
     double number(const char* key, double defaultValue) const;
@@ -71,8 +74,8 @@
 
     // Calls `visit` with the Fields of each object in an array.
     template <class Visit>
-    void each(const char* key, Visit&& visit) const {
-        const Json& list = needList(key);
+    void forEach(const char* key, Visit&& visit) const {
+        const Json& list = arrayAt(key);
         for (std::size_t i = 0; i < list.size(); ++i) visit(Fields(list[i], itemPath(key, i)));
     }
 
@@ -82,11 +85,14 @@
         const std::string& word = text(key);
         for (const Choice<Value>& choice : choices)
             if (word == choice.word) return choice.value;
-        complain(key, "unknown word '" + word + "'");
+        std::string expected;
+        for (const Choice<Value>& choice : choices)
+            expected += (expected.empty() ? "'" : ", '") + std::string(choice.word) + "'";
+        throwError(key, "must be one of " + expected + ", found '" + word + "'");
     }
 
 private:
-    const Json& needList(const char* key) const;
+    const Json& arrayAt(const char* key) const;
     std::string itemPath(const char* key, std::size_t index) const;
     double asNumber(const char* key, const Json& value) const;
     int asInteger(const char* key, double value) const;
--- a/src/simulator/batch_server.cpp
+++ b/src/simulator/batch_server.cpp
@@ -33,14 +33,14 @@
         beginBatch(fields);
         return std::nullopt;
     }
-    if (!isInBatch_) fields.complain("", "is outside a batch: a tick message must come first");
+    if (!isInBatch_) fields.throwError("", "is outside a batch: a tick message must come first");
     if (name == "eofBatch") return endBatch();
     handleMessage(name, fields);
     return std::nullopt;
 }
 
 void BatchServer::beginBatch(const Fields& fields) {
-    if (isInBatch_) fields.complain("", "the previous batch has not ended: an eofBatch message is missing");
+    if (isInBatch_) fields.throwError("", "the previous batch has not ended: an eofBatch message is missing");
     now_ = fields.timePoint("momentS");
     isInBatch_ = true;
 }
@@ -60,8 +60,8 @@
     }
     const auto found = gateways_.find(number);
     if (found == gateways_.end())
-        fields.complain("gatekeeper", "gateway " + std::to_string(number) +
-                                          " is not enlisted: an enlist message must come first");
+        fields.throwError("gatekeeper", "gateway " + std::to_string(number) +
+                                            " is not enlisted: an enlist message must come first");
     if (name == "shutdown") {
         gateways_.erase(found);
         return;
@@ -95,10 +95,10 @@
 void BatchServer::checkIndices(const Gateway& gateway, const RequestArrived& arrival, const Fields& fields) {
     const int classIndex = static_cast<int>(arrival.requestClass);
     if (classIndex < 0 || classIndex >= gateway.classCount)
-        fields.complain("priority", std::to_string(classIndex) + " is not an index into info.classes");
+        fields.throwError("priority", std::to_string(classIndex) + " is not an index into info.classes");
     const int plan = static_cast<int>(arrival.plan);
     if (plan < 0 || (gateway.planCount > 0 && plan >= gateway.planCount))
-        fields.complain("contract", std::to_string(plan) + " is not an index into info.contracts");
+        fields.throwError("contract", std::to_string(plan) + " is not an index into info.contracts");
 }
 
 }  // namespace gateway::simulator
--- a/tests/integration/descriptor_reclaim_test.cpp
+++ b/tests/integration/descriptor_reclaim_test.cpp
@@ -28,7 +28,7 @@
         GatewayOptions options = optionsWithEndpoint(endpoint, withCounter(settings, Seconds(20)));
         options.maxSockets = GetParam().configured;
         options.maxDescriptors = GetParam().system;
-        options.timing.maxPartialTime = std::chrono::hours(1);  // keeps clients that send nothing
+        options.timing.requestReadTimeout = std::chrono::hours(1);  // keeps clients that send nothing
         options.counter = counter.address();
         options.discovery = discovery.address();
         startGateway(options);
--- a/tests/net/transport/backoff_test.cpp
+++ b/tests/net/transport/backoff_test.cpp
@@ -15,7 +15,7 @@
     static constexpr Duration kMaxBound = milliseconds(200);
     static constexpr int kDraws = 1000;
 
-    // The longest of many waits after `growthSteps` earlier ones.
+    // Returns the longest of many waits that are each drawn after `growthSteps` earlier ones.
     static Duration longestWaitAfter(int growthSteps) {
         Duration longest{};
         for (int seed = 0; seed < kDraws; ++seed) {
@@ -53,15 +53,15 @@
     }
 }
 
-TEST_F(BackoffTest, DrawWithinBoundDoesNotGrow) {
+TEST_F(BackoffTest, DrawUpToBoundDoesNotChangeBoundOfNext) {
     for (int i = 0; i < kDraws; ++i) {
-        const Duration wait = backoff.within(Duration(3));
+        const Duration wait = backoff.drawUpTo(Duration(3));
         EXPECT_GE(wait, Duration(1));
         EXPECT_LE(wait, Duration(3));
     }
     EXPECT_LE(backoff.next(), kInitialBound);
-    EXPECT_EQ(backoff.within(Duration::zero()), Duration::zero());
-    EXPECT_EQ(backoff.within(Duration(-1)), Duration::zero());
+    EXPECT_EQ(backoff.drawUpTo(Duration::zero()), Duration::zero());
+    EXPECT_EQ(backoff.drawUpTo(Duration(-1)), Duration::zero());
 }
 
 TEST_F(BackoffTest, SameSeedDrawsSameWaits) {
