--- a/src/simulator/event_reader.cpp
+++ b/src/simulator/event_reader.cpp
@@ -5,7 +5,7 @@
 namespace gateway::simulator {
 namespace {
 
-constexpr std::size_t kMaxTimerDigits = 18;  // fit in 64 bits
+constexpr std::size_t kMaxTimerDigits = 18;  // always fits in 64 bits
 
 RequestId readRequestId(const Fields& fields) {
     return RequestId(fields.text("corr"));
--- a/tests/integration/client_disconnect_during_attempt_test.cpp
+++ b/tests/integration/client_disconnect_during_attempt_test.cpp
@@ -31,7 +31,7 @@
 
     SaturatedServer saturated;
     Server counter;
-    const std::string tenant = tenantWithYoungSlice();
+    const std::string tenant = tenantAtStartOfSlice();
 };
 
 INSTANTIATE_TEST_SUITE_P(Ways, DisconnectWhileConnectingTest,
--- a/tests/integration/client_disconnect_test.cpp
+++ b/tests/integration/client_disconnect_test.cpp
@@ -32,7 +32,7 @@
     static void expectRefund(Socket& call) { EXPECT_TRUE(contains(call.receiveMessage(), "?add=-1&")); }
 
     Server counter;
-    const std::string tenant = tenantWithYoungSlice();
+    const std::string tenant = tenantAtStartOfSlice();
 };
 
 INSTANTIATE_TEST_SUITE_P(Ways, ClientDisconnectTest,
--- a/tests/integration/counter_calls_test.cpp
+++ b/tests/integration/counter_calls_test.cpp
@@ -40,7 +40,7 @@
     Server endpoint, counter;
     GatewayProcess gateway{optionsWithCounter(Seconds(0.2))};
     Socket client = gateway.connectClient();
-    const std::string tenant = tenantWithYoungSlice();
+    const std::string tenant = tenantAtStartOfSlice();
 };
 
 TEST_F(CounterCallsTest, RejectsAndRefundsWhenTotalExceedsQuota) {
--- a/tests/integration/descriptor_reclaim_test.cpp
+++ b/tests/integration/descriptor_reclaim_test.cpp
@@ -75,7 +75,7 @@
     constexpr int kFurtherClients = 20;
     Socket client = connectClient();
     EXPECT_EQ(requestReadiness(client), 200);
-    client.write(safeRequest("r").withTenant(tenantWithYoungSlice()).text());
+    client.write(safeRequest("r").withTenant(tenantAtStartOfSlice()).text());
     Socket call = counter.accept();
     EXPECT_TRUE(contains(call.receiveMessage(), "?add=1&"));
     call.write(okResponse("2"));
--- a/tests/simulator/stream_server_test.cpp
+++ b/tests/simulator/stream_server_test.cpp
@@ -13,7 +13,7 @@
 
 using Json = nlohmann::json;
 
-const std::string kEnlist =
+const std::string kEnlistMessage =
     R"({"enlist":{"gatekeeper":3,"randomSeed":9,"info":{"allowed":{"cancel":true,"maxAttempts":4,)"
     R"("retryAfter":true,)"
     R"("maxRetryAfterS":0.5,"whatever":1},"balancers":2,"me":1,"classes":[{"aimS":0.6,"deadlineS":2.5,)"
@@ -21,18 +21,18 @@
     R"("domain":{"mayCount":true,"counterTimeoutS":0.03,"maxUnits":2},"rules":{"coldFrom":0.25},)"
     R"("report":{"fields":["rif"],"how":"inline"},"novelty":{"x":1}}}})"
     "\n";
-const std::string kMembership = R"({"membership":{"gatekeeper":3,"scope":"SAVED","rev":4,)"
-                                R"("items":[{"availability":"IN","worker":"w1"}]}})"
-                                "\n";
-const std::string kShutdown = "{\"shutdown\":{\"gatekeeper\":3}}\n";
-const std::string kLapsed = "{\"lapsed\":{\"gatekeeper\":3,\"corr\":\"x\"}}\n";
+const std::string kMembershipMessage = R"({"membership":{"gatekeeper":3,"scope":"SAVED","rev":4,)"
+                                       R"("items":[{"availability":"IN","worker":"w1"}]}})"
+                                       "\n";
+const std::string kShutdownMessage = "{\"shutdown\":{\"gatekeeper\":3}}\n";
+const std::string kLapsedMessage = "{\"lapsed\":{\"gatekeeper\":3,\"corr\":\"x\"}}\n";
 
-std::string batch(const std::string& lines, double now = 8.0) {
+std::string makeBatch(const std::string& lines, double now = 8.0) {
     return "{\"tick\":{\"momentS\":" + std::to_string(now) + "}}\n" + lines + "{\"eofBatch\":{}}\n";
 }
 
 // A batch that starts gateway 3 and gives it an endpoint.
-const std::string kStart = batch(kEnlist + kMembership);
+const std::string kStartBatch = makeBatch(kEnlistMessage + kMembershipMessage);
 
 std::string replyTo(const std::string& input) {
     std::istringstream in(input);
@@ -52,16 +52,16 @@
 }
 
 TEST(StreamServerTest, AnswersEmptyBatchWithReady) {
-    EXPECT_EQ(replyTo(batch("")), "{\"ready\":{}}\n");
+    EXPECT_EQ(replyTo(makeBatch("")), "{\"ready\":{}}\n");
 }
 
 TEST(StreamServerTest, AnswersRequestWithCounterCallOfItsGateway) {
     const std::string reply =
-        replyTo(kStart + batch(R"({"knock":{"gatekeeper":3,"corr":"a-b","priority":0,"contract":0,)"
-                               R"("account":77,"notAfterS":10.5,)"
-                               R"("units":2,"entryPoints":2,"firstDoor":1,"neverHeardOf":5}})"
-                               "\n",
-                               8.1));
+        replyTo(kStartBatch + makeBatch(R"({"knock":{"gatekeeper":3,"corr":"a-b","priority":0,"contract":0,)"
+                                        R"("account":77,"notAfterS":10.5,)"
+                                        R"("units":2,"entryPoints":2,"firstDoor":1,"neverHeardOf":5}})"
+                                        "\n",
+                                        8.1));
     std::istringstream lines(reply);
     std::string line;
     std::string name;
@@ -79,15 +79,17 @@
 }
 
 TEST(StreamServerTest, ForgetsGatewayAfterShutdown) {
-    EXPECT_EQ(errorOf(kStart + batch(kShutdown)), "");
-    EXPECT_NE(errorOf(kStart + batch(kShutdown) + batch(kLapsed)).find("gateway 3 is not enlisted"),
+    EXPECT_EQ(errorOf(kStartBatch + makeBatch(kShutdownMessage)), "");
+    EXPECT_NE(errorOf(kStartBatch + makeBatch(kShutdownMessage) + makeBatch(kLapsedMessage))
+                  .find("gateway 3 is not enlisted"),
               std::string::npos);
 }
 
 TEST(StreamServerTest, IgnoresUnknownIdsAndMessagesOfPeers) {
     EXPECT_EQ(
-        errorOf(kStart + batch(kLapsed + "{\"bell\":{\"gatekeeper\":3,\"ref\":\"99\"}}\n"
-                                         "{\"memo\":{\"gatekeeper\":3,\"author\":0,\"octets\":\"6869\"}}\n")),
+        errorOf(kStartBatch + makeBatch(kLapsedMessage +
+                                        "{\"bell\":{\"gatekeeper\":3,\"ref\":\"99\"}}\n"
+                                        "{\"memo\":{\"gatekeeper\":3,\"author\":0,\"octets\":\"6869\"}}\n")),
         "");
 }
 
@@ -104,7 +106,7 @@
 }
 
 std::string enlistWithNegativeRate() {
-    std::string enlist = kEnlist;
+    std::string enlist = kEnlistMessage;
     const std::string rate = "\"perSecond\":2.0";
     return enlist.replace(enlist.find(rate), rate.size(), "\"perSecond\":-2.0");
 }
@@ -119,19 +121,20 @@
 INSTANTIATE_TEST_SUITE_P(
     Lines, SimulatorInputErrorTest,
     testing::Values(
-        ErrorCase{"NotJson", kStart + "{oops\n", "line 5: message: is not valid JSON"},
-        ErrorCase{"UnknownGateway", batch("{\"mystery\":{\"gatekeeper\":3}}\n"), "gateway 3 is not enlisted"},
-        ErrorCase{"UnknownMessage", kStart + batch("{\"mystery\":{\"gatekeeper\":3}}\n"),
+        ErrorCase{"NotJson", kStartBatch + "{oops\n", "line 5: message: is not valid JSON"},
+        ErrorCase{"UnknownGateway", makeBatch("{\"mystery\":{\"gatekeeper\":3}}\n"),
+                  "gateway 3 is not enlisted"},
+        ErrorCase{"UnknownMessage", kStartBatch + makeBatch("{\"mystery\":{\"gatekeeper\":3}}\n"),
                   "mystery: unknown message"},
-        ErrorCase{"MissingField", kStart + batch("{\"knock\":{\"gatekeeper\":3}}\n"),
+        ErrorCase{"MissingField", kStartBatch + makeBatch("{\"knock\":{\"gatekeeper\":3}}\n"),
                   "knock.corr: is missing"},
         ErrorCase{"OutsideABatch", "{\"eofBatch\":{}}\n", "outside a batch: a tick message must come first"},
         ErrorCase{"EndsInsideABatch", "{\"tick\":{\"momentS\":1}}\n", "the last batch has not ended"},
         ErrorCase{"BatchWithinABatch", "{\"tick\":{\"momentS\":1}}\n{\"tick\":{\"momentS\":2}}\n",
                   "line 2: tick: the previous batch has not ended"},
-        ErrorCase{"TwoNamesInAMessage", batch("{\"bell\":{},\"knock\":{}}\n"),
+        ErrorCase{"TwoNamesInAMessage", makeBatch("{\"bell\":{},\"knock\":{}}\n"),
                   "line 2: message: must be a JSON object with one key"},
-        ErrorCase{"InvalidSettings", batch(enlistWithNegativeRate()), "plans[0].rate"}),
+        ErrorCase{"InvalidSettings", makeBatch(enlistWithNegativeRate()), "plans[0].rate"}),
     [](const auto& testCase) { return testCase.param.name; });
 
 // ---- Messages that gateways ignore ----------------------------------------------------------------
@@ -140,7 +143,7 @@
 // health check precede each request.
 std::string requestsOfTenants(bool withIgnoredMessages) {
     constexpr int kRequests = 60;
-    std::string input = kStart;
+    std::string input = kStartBatch;
     for (int i = 0; i < kRequests; ++i) {
         std::string lines;
         if (withIgnoredMessages) {
@@ -155,7 +158,7 @@
                  R"(","priority":0,"contract":0,"account":)" + std::to_string(i % 7) +
                  R"(,"notAfterS":10.5,"units":1,"entryPoints":2}})"
                  "\n";
-        input += batch(lines, 8.1);
+        input += makeBatch(lines, 8.1);
     }
     return input;
 }
--- a/tests/support/failing_discovery.h
+++ b/tests/support/failing_discovery.h
@@ -1,4 +1,4 @@
-// A discovery service that fails its first call in a given way.
+// A discovery service that fails a call in a given way.
 #pragma once
 
 #include <ostream>
--- a/tests/support/gateway_options.h
+++ b/tests/support/gateway_options.h
@@ -32,7 +32,7 @@
 std::string snapshotDocument(int index, const ListedEndpoints& endpoints, int indentation = kOneLine);
 std::string deltaDocument(int index, const ListedEndpoints& endpoints);
 
-// Such a document as one line of a watch, in an HTTP chunk of its own.
+// The same document as one line of a watch stream, in an HTTP chunk of its own.
 std::string snapshotChunk(int index, const ListedEndpoints& endpoints);
 std::string deltaChunk(int index, const ListedEndpoints& endpoints);
 
@@ -44,8 +44,8 @@
 constexpr const char* kPushedDiscovery = "push";
 constexpr const char* kPolledDiscovery = "ask";
 
-// The settings of the gateways: three request classes ("load" is safe, "change" keyed, "spend" unsafe), a
-// plan with a quota ("team") and a plan without one ("free").
+// The settings of a gateway: three request classes ("load" is safe, "change" keyed, "spend" unsafe), a plan
+// with a quota ("team") and a plan without one ("free").
 struct SettingsSpec {
     int gatewayIndex = 0;
     int gatewayCount = 3;
--- a/tests/support/gateway_process.h
+++ b/tests/support/gateway_process.h
@@ -11,7 +11,7 @@
 
 namespace gateway::net::test {
 
-// Runs serve() in a forked process. Kills it at the end of the test, if it has not exited by then.
+// Runs serve() in a forked process. The destructor kills the process if it has not exited by then.
 class GatewayProcess {
 public:
     // Returns once the gateway is listening. Throws std::runtime_error if it exits before that.
--- a/tests/support/http_messages.h
+++ b/tests/support/http_messages.h
@@ -1,4 +1,4 @@
-// HTTP messages for the test's side of a gateway: functions that read received ones, and responses to send.
+// HTTP messages of a gateway's peers: functions that read received messages, and responses to send.
 #pragma once
 
 #include <chrono>
--- a/tests/support/loopback_socket.h
+++ b/tests/support/loopback_socket.h
@@ -12,7 +12,7 @@
 constexpr int kTestTimeoutMs = 20000;  // of each wait; reached only if a test hangs
 
 // One end of a TCP connection, which it owns. Functions that wait throw std::runtime_error after
-// kTestTimeoutMs.
+// kTestTimeoutMs, except waitReadable().
 class Socket {
 public:
     explicit Socket(int descriptor = -1) : fd_(descriptor) {}
@@ -32,7 +32,8 @@
 
     void write(const std::string& text) const;
 
-    // Waits for input, a connection to accept, or the end of the connection. Returns false after `timeoutMs`.
+    // Waits for input, a connection to accept, or the end of the connection. Returns false if none of these
+    // comes within `timeoutMs`.
     bool waitReadable(int timeoutMs = kTestTimeoutMs) const;
     // Waits for input and reads what is there. Returns false at the end of the connection.
     bool readSome();
--- a/tests/support/request_spec.cpp
+++ b/tests/support/request_spec.cpp
@@ -81,7 +81,7 @@
     return RequestSpec(kUnsafeClass, id).withBody("x");
 }
 
-std::string tenantWithYoungSlice() {
+std::string tenantAtStartOfSlice() {
     using Microseconds = std::chrono::duration<std::uint64_t, std::micro>;
     constexpr Microseconds kSliceLength = std::chrono::seconds(20);
     constexpr Microseconds kMaxAge = std::chrono::seconds(1);
--- a/tests/support/request_spec.h
+++ b/tests/support/request_spec.h
@@ -49,6 +49,6 @@
 // Returns a tenant whose current window slice began at most 1 s ago. With the quota of SettingsSpec a slice
 // lasts 20 s, and its start depends on the tenant. A test that runs into the next slice would see calls to
 // the counter with another name, possibly on another connection.
-std::string tenantWithYoungSlice();
+std::string tenantAtStartOfSlice();
 
 }  // namespace gateway::net::test
