--- a/src/simulator/wire_reader.cpp
+++ b/src/simulator/event_reader.cpp
@@ -1,11 +1,11 @@
-#include "simulator/wire_reader.h"
+#include "simulator/event_reader.h"
 
 #include <utility>
 
 namespace gateway::simulator {
 namespace {
 
-constexpr std::size_t kMaxTimerDigits = 18;  // fit in 64 bits
+constexpr std::size_t kMaxTimerDigits = 18;  // always fits in 64 bits
 
 RequestId readRequestId(const Fields& fields) {
     return RequestId(fields.text("corr"));
