--- a/src/net/upstream/attempt_runner.cpp
+++ b/src/net/upstream/attempt_runner.cpp
@@ -25,7 +25,7 @@
     attempt.request = std::move(request);
     attempt.startedAt = steady_clock::now();
     attempt.timeoutAt = attempt.startedAt + options.timeout;
-    attempt.startDeadline = options.startWithin > Duration::zero() ? attempt.startedAt + options.startWithin
+    attempt.sendDeadline = options.maxSendDelay > Duration::zero() ? attempt.startedAt + options.maxSendDelay
                                                                    : SteadyTimePoint::max();
     if (!canStart(attempt)) {
         finish(id, Outcome::notSent);
@@ -74,10 +74,10 @@
     const auto found = attempts_.find(id);
     if (found == attempts_.end()) return;
     const Attempt& attempt = found->second;
-    // The drain grace period or the start deadline may have passed while the connection was being
+    // The drain grace period or the send deadline may have passed while the connection was being
     // established.
     const SteadyTimePoint now = steady_clock::now();
-    if (!attempt.endpoint->acceptsAttempts(now, limits_.drainGracePeriod) || now >= attempt.startDeadline) {
+    if (!attempt.endpoint->acceptsAttempts(now, limits_.drainGracePeriod) || now >= attempt.sendDeadline) {
         attempt.connection->close();
         finish(id, Outcome::notSent);
         return;
--- a/src/net/upstream/attempt_runner.h
+++ b/src/net/upstream/attempt_runner.h
@@ -38,8 +38,8 @@
         std::function<bool(AttemptId)> shouldSend;
     };
     struct Options {
-        Duration timeout{};      // for the complete response
-        Duration startWithin{};  // the request is not sent later than this; 0: no limit
+        Duration timeout{};       // for the complete response
+        Duration maxSendDelay{};  // the request is not sent later than this; 0: no limit
     };
 
     // `ioContext`, `timers` and `idleConnections` must outlive the runner. `ioContext` must not run a handler
@@ -69,7 +69,7 @@
         std::shared_ptr<const ForwardedRequest> request;
         SteadyTimePoint startedAt{};
         SteadyTimePoint timeoutAt{};
-        SteadyTimePoint startDeadline{};
+        SteadyTimePoint sendDeadline{};
         ConnectionPtr connection;
         TimerQueue::Token timeoutTimer = 0;
     };
--- a/tests/net/upstream/attempt_runner_test.cpp
+++ b/tests/net/upstream/attempt_runner_test.cpp
@@ -140,8 +140,8 @@
     EXPECT_TRUE(isClosedWithoutBytes(peer));
 }
 
-TEST_F(AttemptRunnerTest, DoesNotSendIfStartDeadlinePassesWhileConnecting) {
-    options.startWithin = Duration(1);
+TEST_F(AttemptRunnerTest, DoesNotSendIfSendDeadlinePassesWhileConnecting) {
+    options.maxSendDelay = Duration(1);
     start();
     tcp::socket peer = accept();
     EXPECT_EQ(waitForOutcome(), Outcome::notSent);
