--- a/src/net/client/client_server.cpp
+++ b/src/net/client/client_server.cpp
@@ -40,7 +40,7 @@
     acceptor_.non_blocking(true);
     isListening_ = true;
     accept();
-    timers_.after(kSweepPeriod, [this] { endStuckSessions(); });
+    timers_.schedule(kSweepPeriod, [this] { endStuckSessions(); });
 }
 
 void ClientServer::accept() {
@@ -63,7 +63,7 @@
         // The process is out of descriptors or memory. Without the pause, a client in the backlog would cause
         // a busy loop of failing accepts.
         endIdleSession();
-        timers_.after(kAcceptPause, [this] { accept(); });
+        timers_.schedule(kAcceptPause, [this] { accept(); });
         return;
     }
     startSession(std::move(socket));
@@ -93,7 +93,7 @@
     const bool wasAccepting = std::exchange(isAccepting_, true);
     const bool evicted = endIdleSession();
     isAccepting_ = wasAccepting;
-    if (!wasAccepting) timers_.after(Duration::zero(), [this] { accept(); });
+    if (!wasAccepting) timers_.schedule(Duration::zero(), [this] { accept(); });
     return evicted;
 }
 
@@ -146,7 +146,7 @@
         else
             session->end();
     }
-    timers_.after(kSweepPeriod, [this] { endStuckSessions(); });
+    timers_.schedule(kSweepPeriod, [this] { endStuckSessions(); });
 }
 
 // ---- Shutdown -------------------------------------------------------------------------------------
@@ -157,8 +157,8 @@
     if (isDraining_) return;
     isDraining_ = true;
     onDrained_ = std::move(done);
-    timers_.after(limits_.idleGracePeriod, [this] { endIdleSessionsWhileDraining(); });
-    timers_.after(limits_.listenAfterShutdown, [this] { stopListening(); });
+    timers_.schedule(limits_.idleGracePeriod, [this] { endIdleSessionsWhileDraining(); });
+    timers_.schedule(limits_.listenAfterShutdown, [this] { stopListening(); });
 }
 
 // Accepts the connections in the listener's backlog first, because closing the listener would reset them.
@@ -186,7 +186,7 @@
     }
     for (const SessionPtr& session : ended) session->end();
     if (isListening_ || !sessions_.empty())
-        timers_.after(kDrainSweepPeriod, [this] { endIdleSessionsWhileDraining(); });
+        timers_.schedule(kDrainSweepPeriod, [this] { endIdleSessionsWhileDraining(); });
     else
         reportDrained();
 }
--- a/src/net/client/client_session.cpp
+++ b/src/net/client/client_session.cpp
@@ -47,7 +47,7 @@
     }
     if (input().size() == 0) return;
     // The next request is already in the input. Reads it from the event loop to avoid recursion.
-    timers_.after(Duration::zero(), [weak = weak_from_this()] {
+    timers_.schedule(Duration::zero(), [weak = weak_from_this()] {
         if (const auto session = weak.lock()) static_cast<ClientSession&>(*session).readNext();
     });
 }
@@ -77,7 +77,7 @@
     isLingering_ = true;
     if (allWritten()) shutdownSend();
     discardInput();
-    timers_.after(kLingerTime, [weak = weak_from_this()] {
+    timers_.schedule(kLingerTime, [weak = weak_from_this()] {
         const auto session = weak.lock();
         if (session && session->isOpen()) static_cast<ClientSession&>(*session).end();
     });
--- a/src/net/counter/counter_client.cpp
+++ b/src/net/counter/counter_client.cpp
@@ -134,9 +134,10 @@
     const Lane& lane = lanes_[connection.lane()];
     if (lane.previous.get() != &connection || !connection.isIdle()) return;
     // Retires the connection from the event loop, since it may still be reading its input.
-    timers_.after(Duration::zero(), [this, index = connection.lane(), weak = std::weak_ptr(lane.previous)] {
-        if (const auto previous = weak.lock()) retirePrevious(index, previous);
-    });
+    timers_.schedule(Duration::zero(),
+                     [this, index = connection.lane(), weak = std::weak_ptr(lane.previous)] {
+                         if (const auto previous = weak.lock()) retirePrevious(index, previous);
+                     });
 }
 
 void CounterClient::retirePrevious(std::size_t index, const ConnectionPtr& previous) {
--- a/src/net/counter/counter_connection.cpp
+++ b/src/net/counter/counter_connection.cpp
@@ -39,7 +39,7 @@
         queueCall(call, text);
     else
         call.unqueued = std::move(text);
-    call.timeoutTimer = timers_.after(callTimeout_, [this, weak = weak_from_this(), number = call.number] {
+    call.timeoutTimer = timers_.schedule(callTimeout_, [this, weak = weak_from_this(), number = call.number] {
         if (const auto self = weak.lock()) expireCall(number);
     });
     calls_.push_back(std::move(call));
--- a/src/net/discovery/discovery_client.cpp
+++ b/src/net/discovery/discovery_client.cpp
@@ -40,7 +40,7 @@
 
 void DiscoveryClient::scheduleCall(Duration delay) {
     timers_.cancel(nextCall_);
-    nextCall_ = timers_.after(delay, [this] { call(); });
+    nextCall_ = timers_.schedule(delay, [this] { call(); });
 }
 
 void DiscoveryClient::closeAll() {
--- a/src/net/discovery/watch_stream.cpp
+++ b/src/net/discovery/watch_stream.cpp
@@ -125,7 +125,7 @@
         return;
     }
     hasSilenceTimer_ = true;
-    timers_.after(std::chrono::duration_cast<Duration>(kMaxSilence - silence), [weak = weak_from_this()] {
+    timers_.schedule(std::chrono::duration_cast<Duration>(kMaxSilence - silence), [weak = weak_from_this()] {
         const auto stream = std::static_pointer_cast<WatchStream>(weak.lock());
         if (stream && stream->isOpen()) stream->checkSilence();
     });
--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -213,7 +213,7 @@
 
 void GatewayServer::execute(const SetTimer& action) {
     ++engineTimersInFlight_;
-    timers_.after(action.delay, [this, timer = action.timer] {
+    timers_.schedule(action.delay, [this, timer = action.timer] {
         --engineTimersInFlight_;
         dispatcher_.dispatch(TimerFired{timer});
     });
--- a/src/net/server/graceful_shutdown.cpp
+++ b/src/net/server/graceful_shutdown.cpp
@@ -26,7 +26,7 @@
 
 void GracefulShutdown::completeWhenReconciled() {
     if (!hooks_.isReconciled() && steady_clock::now() < reconcileDeadline_) {
-        timers_.after(kReconcilePollInterval, [this] { completeWhenReconciled(); });
+        timers_.schedule(kReconcilePollInterval, [this] { completeWhenReconciled(); });
         return;
     }
     hooks_.stopDiscovery();
--- a/src/net/server/readiness.cpp
+++ b/src/net/server/readiness.cpp
@@ -8,9 +8,9 @@
 }
 
 void Readiness::start(bool awaitsInitialUpdate) {
-    if (!hasUsableList_) timers_.after(limits_.emptyListWait, [this] { hasUsableList_ = true; });
+    if (!hasUsableList_) timers_.schedule(limits_.emptyListWait, [this] { hasUsableList_ = true; });
     isListCurrent_ = !awaitsInitialUpdate || limits_.initialUpdateWait <= Duration::zero();
-    if (!isListCurrent_) timers_.after(limits_.initialUpdateWait, [this] { isListCurrent_ = true; });
+    if (!isListCurrent_) timers_.schedule(limits_.initialUpdateWait, [this] { isListCurrent_ = true; });
 }
 
 }  // namespace gateway::net
--- a/src/net/transport/tcp_connection.cpp
+++ b/src/net/transport/tcp_connection.cpp
@@ -39,7 +39,7 @@
                             const ReclaimDescriptor& reclaimDescriptor) {
     lacksDescriptor_ = !openSocket(peer, reclaimDescriptor);
     if (lacksDescriptor_) {
-        timers.after(Duration::zero(), [weak = weak_from_this()] {
+        timers.schedule(Duration::zero(), [weak = weak_from_this()] {
             if (const auto self = weak.lock()) self->fail();
         });
         return;
@@ -56,7 +56,7 @@
         });
     });
     // An unreachable machine never answers, so only this timer ends the attempt to connect.
-    timers.after(timeout, [weak = weak_from_this()] {
+    timers.schedule(timeout, [weak = weak_from_this()] {
         const auto self = weak.lock();
         if (self && !self->open_) self->fail();
     });
--- a/src/net/transport/timer_queue.cpp
+++ b/src/net/transport/timer_queue.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-TimerQueue::Token TimerQueue::after(Duration delay, std::function<void()> callback) {
+TimerQueue::Token TimerQueue::schedule(Duration delay, std::function<void()> callback) {
     const SteadyTimePoint now = steady_clock::now();
     const SteadyTimePoint due = delay > Duration::zero() ? roundUpToResolution(now + delay) : now;
     const Token token = nextToken_;
@@ -51,7 +51,7 @@
 
 void TimerQueue::fireDue() {
     const SteadyTimePoint now = steady_clock::now();
-    armedFor_ = SteadyTimePoint::min();  // keeps callbacks that add timers from arming; arm() follows below
+    armedFor_ = SteadyTimePoint::min();  // callbacks that schedule timers must not arm it
     while (!entries_.empty() && entries_.top().first <= now) {
         const Token token = entries_.top().second;
         entries_.pop();
--- a/src/net/transport/timer_queue.h
+++ b/src/net/transport/timer_queue.h
@@ -28,7 +28,7 @@
     // Calls `callback` once from the event loop, `delay` from now or up to 2 ms later. A delay of 0 or less
     // means as soon as the event loop runs. An exception that `callback` throws is logged and does not affect
     // other timers. Returns the token for cancel().
-    Token after(Duration delay, std::function<void()> callback);
+    Token schedule(Duration delay, std::function<void()> callback);
 
     // Cancels a timer. Has no effect if it has fired or was cancelled.
     void cancel(Token token);
--- a/src/net/upstream/attempt_runner.cpp
+++ b/src/net/upstream/attempt_runner.cpp
@@ -31,7 +31,7 @@
         finish(id, Outcome::notSent);
         return;
     }
-    attempt.timeoutTimer = timers_.after(options.timeout, [this, id] { expire(id); });
+    attempt.timeoutTimer = timers_.schedule(options.timeout, [this, id] { expire(id); });
     attempt.connection = idleConnections_.take(*attempt.endpoint);
     if (attempt.connection) {
         attempt.connection->assign(id);
--- a/src/net/upstream/idle_connection_pool.cpp
+++ b/src/net/upstream/idle_connection_pool.cpp
@@ -93,7 +93,7 @@
 void IdleConnectionPool::scheduleCloseExpired() {
     if (isCloseScheduled_) return;
     isCloseScheduled_ = true;
-    timers_.after(limits_.keepAlive / kSweepsPerKeepAlive, [this] {
+    timers_.schedule(limits_.keepAlive / kSweepsPerKeepAlive, [this] {
         isCloseScheduled_ = false;
         closeExpired();
     });
--- a/src/net/upstream/upstream_connection.cpp
+++ b/src/net/upstream/upstream_connection.cpp
@@ -116,7 +116,7 @@
 void UpstreamConnection::limitResponseTime() {
     if (timeLimitedResponseNumber_ == responseNumber_) return;
     timeLimitedResponseNumber_ = responseNumber_;
-    timers_.after(kMaxResponseTime, [weak = weak_from_this(), number = responseNumber_] {
+    timers_.schedule(kMaxResponseTime, [weak = weak_from_this(), number = responseNumber_] {
         const auto connection = std::static_pointer_cast<UpstreamConnection>(weak.lock());
         if (connection && connection->isOpen() && connection->responseNumber_ == number)
             connection->closeAsBroken();
--- a/tests/net/transport/timer_exception_test.cpp
+++ b/tests/net/transport/timer_exception_test.cpp
@@ -23,8 +23,8 @@
     boost::asio::io_context loop;
     TimerQueue timers(loop);
     bool hasFired = false;
-    timers.after(Duration::zero(), [] { throw std::runtime_error("of one connection"); });
-    timers.after(std::chrono::milliseconds(10), [&] { hasFired = true; });
+    timers.schedule(Duration::zero(), [] { throw std::runtime_error("of one connection"); });
+    timers.schedule(std::chrono::milliseconds(10), [&] { hasFired = true; });
     runLoop(loop);
     EXPECT_TRUE(hasFired);
 }
