--- a/src/net/counter/counter_connection.cpp
+++ b/src/net/counter/counter_connection.cpp
@@ -145,7 +145,7 @@
 }
 
 void CounterConnection::onClosed() {
-    const bool wasConnected = isOpen() || written() > 0;
+    const bool wasConnected = isOpen() || bytesWritten() > 0;
     // Informs the observer first, because failAll() can cause new calls, which must use another connection.
     observer_.onBroken(*this, wasConnected);
     failAll(Outcome::reset);
--- a/src/net/counter/counter_connection.h
+++ b/src/net/counter/counter_connection.h
@@ -82,7 +82,7 @@
     void onClosed() override;
 
     void queueCall(Call& call, const std::string& text);
-    bool isWritten(const Call& call) const { return call.endsAt && *call.endsAt <= written(); }
+    bool isWritten(const Call& call) const { return call.endsAt && *call.endsAt <= bytesWritten(); }
     void expireCall(std::uint64_t number);
     bool finishOldestCall(const CounterResponse& response);
     void report(const Call& call, Outcome outcome, double total);
--- a/src/net/transport/tcp_connection.cpp
+++ b/src/net/transport/tcp_connection.cpp
@@ -138,7 +138,7 @@
     const auto unwritten =
         boost::asio::buffer(output_.data() + outputPosition_, output_.size() - outputPosition_);
     const std::size_t size = socket_.write_some(unwritten, ec);
-    written_ += size;
+    bytesWritten_ += size;
     outputPosition_ += size;
     if (allWritten()) {
         output_.clear();
--- a/src/net/transport/tcp_connection.h
+++ b/src/net/transport/tcp_connection.h
@@ -79,7 +79,7 @@
     bool isOpen() const { return open_; }
 
     // The number of bytes that were passed to the kernel since the connection was established.
-    std::uint64_t written() const { return written_; }
+    std::uint64_t bytesWritten() const { return bytesWritten_; }
 
     // Returns whether all output was passed to the kernel.
     bool allWritten() const { return output_.size() == outputPosition_; }
@@ -131,7 +131,7 @@
     boost::beast::flat_buffer input_{kMaxInputBytes};
     std::string output_;
     std::size_t outputPosition_ = 0;  // of the first unwritten byte
-    std::uint64_t written_ = 0;
+    std::uint64_t bytesWritten_ = 0;
     bool lacksDescriptor_ = false;
     bool open_ = false;
     bool closed_ = false;
--- a/src/net/upstream/upstream_connection.cpp
+++ b/src/net/upstream/upstream_connection.cpp
@@ -57,7 +57,7 @@
     if (request.method != "GET")
         text.append("\r\nContent-Length: ").append(std::to_string(request.body.size()));
     text.append("\r\n\r\n").append(request.body);
-    bytesWrittenBefore_ = written();
+    bytesWrittenBefore_ = bytesWritten();
     send(text);
 }
 
@@ -74,7 +74,7 @@
         observer_.onUnexpectedInput(self());
         return;
     }
-    if (written() == bytesWrittenBefore_) {  // no byte of the request was written yet
+    if (bytesWritten() == bytesWrittenBefore_) {  // no byte of the request was written yet
         closeAsBroken();
         return;
     }
--- a/src/net/upstream/upstream_connection.h
+++ b/src/net/upstream/upstream_connection.h
@@ -61,7 +61,7 @@
 
     // Returns whether the whole request of the attempt was passed to the kernel, so that the endpoint may run
     // it.
-    bool isRequestWritten() const { return written() > bytesWrittenBefore_ && allWritten(); }
+    bool isRequestWritten() const { return bytesWritten() > bytesWrittenBefore_ && allWritten(); }
 
     // Returns whether the connection carried another attempt before the present one.
     bool isReused() const { return bytesWrittenBefore_ > 0; }
@@ -87,7 +87,7 @@
     TimerQueue& timers_;
     std::shared_ptr<std::size_t> openConnections_;  // shared, as pending handlers can outlive the runner
     AttemptId attempt_ = AttemptId::none;
-    std::uint64_t bytesWrittenBefore_ = 0;         // written() at the start of the attempt's request
+    std::uint64_t bytesWrittenBefore_ = 0;         // bytesWritten() at the start of the attempt's request
     std::uint64_t responseNumber_ = 0;             // of the current response
     std::uint64_t timeLimitedResponseNumber_ = 0;  // of the latest response with a time limit
     int interimResponses_ = 0;                     // before the current response
--- a/tests/net/transport/tcp_connection_test.cpp
+++ b/tests/net/transport/tcp_connection_test.cpp
@@ -150,10 +150,10 @@
 TEST_F(TcpConnectionTest, WritesQueuedBytesInOrder) {
     connectAndAccept();
     connection->queue("a");
-    EXPECT_EQ(connection->written(), 0U);
+    EXPECT_EQ(connection->bytesWritten(), 0U);
     EXPECT_FALSE(connection->allWritten());
     connection->send("b");
-    EXPECT_EQ(connection->written(), 2U);
+    EXPECT_EQ(connection->bytesWritten(), 2U);
     EXPECT_TRUE(connection->allWritten());
     EXPECT_EQ(receive(peer), "ab");
 }
@@ -167,7 +167,7 @@
     while (receivedBytes < output.size()) receivedBytes += receive(peer).size();
     runUntil([&] { return !connection->calls.empty(); });
     EXPECT_EQ(connection->calls, (Calls{"send drained"}));
-    EXPECT_EQ(connection->written(), output.size());
+    EXPECT_EQ(connection->bytesWritten(), output.size());
 }
 
 TEST_F(TcpConnectionTest, StaysReadableAfterShutdownOfSending) {
