--- a/src/net/client/client_server.cpp
+++ b/src/net/client/client_server.cpp
@@ -134,14 +134,14 @@
     std::vector<SessionPtr> unused;
     const auto now = steady_clock::now();
     for (const SessionPtr& session : sessions_) {
-        const Duration maxTime = session->allWritten() ? limits_.maxPartialTime : limits_.maxUndeliveredTime;
+        const Duration maxTime = session->isFlushed() ? limits_.maxPartialTime : limits_.maxUndeliveredTime;
         if (session->stuckFor(clock_.now()) > maxTime) stuck.push_back(session);
         if (now - session->activeAt() > limits_.maxPartialTime && session->hasExchangedNothing())
             unused.push_back(session);
     }
     for (const SessionPtr& session : unused) session->end();
     for (const SessionPtr& session : stuck) {
-        if (session->allWritten())
+        if (session->isFlushed())
             session->answerAndClose(http::status::request_timeout);
         else
             session->end();
--- a/src/net/client/client_session.cpp
+++ b/src/net/client/client_session.cpp
@@ -25,7 +25,7 @@
 
 Duration ClientSession::stuckFor(TimePoint now) const {
     if (isBusy_ || isLingering_) return {};
-    if (!allWritten()) return now - blockedAt_;
+    if (!isFlushed()) return now - blockedAt_;
     if (!reader_.isPartial()) return {};
     return now - (isFresh() ? acceptedAt_ : reader_.startedAt());
 }
@@ -40,7 +40,7 @@
     appendResponse(output_, response, staysOpen);
     send(output_);
     activeAt_ = steady_clock::now();
-    if (!allWritten()) blockedAt_ = clock_.now();
+    if (!isFlushed()) blockedAt_ = clock_.now();
     if (!staysOpen) {
         linger();
         return;
@@ -75,7 +75,7 @@
 // a reset that destroys the last response before the client reads it.
 void ClientSession::linger() {
     isLingering_ = true;
-    if (allWritten()) shutdownSend();
+    if (isFlushed()) shutdownSend();
     discardInput();
     timers_.schedule(kLingerTime, [weak = weak_from_this()] {
         const auto session = weak.lock();
--- a/src/net/client/client_session.h
+++ b/src/net/client/client_session.h
@@ -64,7 +64,7 @@
     void end();
 
     // Returns whether no request is in flight, being received or being answered.
-    bool isIdle() const { return !isBusy_ && !isLingering_ && !reader_.isPartial() && allWritten(); }
+    bool isIdle() const { return !isBusy_ && !isLingering_ && !reader_.isPartial() && isFlushed(); }
 
     // Returns whether no response has been sent.
     bool isFresh() const { return responses_ == 0; }
--- a/src/net/transport/tcp_connection.cpp
+++ b/src/net/transport/tcp_connection.cpp
@@ -133,14 +133,14 @@
 // ---- Writing --------------------------------------------------------------------------------------
 
 void TcpConnection::flush() {
-    if (!open_ || closed_ || writing_ || allWritten()) return;
+    if (!open_ || closed_ || writing_ || isFlushed()) return;
     error_code ec;
     const auto unwritten =
         boost::asio::buffer(output_.data() + outputPosition_, output_.size() - outputPosition_);
     const std::size_t size = socket_.write_some(unwritten, ec);
     bytesWritten_ += size;
     outputPosition_ += size;
-    if (allWritten()) {
+    if (isFlushed()) {
         output_.clear();
         outputPosition_ = 0;
         if (output_.capacity() > kMaxIdleOutputCapacity) output_.shrink_to_fit();
@@ -159,7 +159,7 @@
         if (closed_ || ec) return;
         runGuarded([this] {
             flush();
-            if (!closed_ && allWritten()) onSendDrained();
+            if (!closed_ && isFlushed()) onSendDrained();
         });
     });
 }
--- a/src/net/transport/tcp_connection.h
+++ b/src/net/transport/tcp_connection.h
@@ -82,7 +82,7 @@
     std::uint64_t bytesWritten() const { return bytesWritten_; }
 
     // Returns whether all output was passed to the kernel.
-    bool allWritten() const { return output_.size() == outputPosition_; }
+    bool isFlushed() const { return output_.size() == outputPosition_; }
 
 protected:
     // Constructs a connection for connect(). `ioContext` must outlive it.
--- a/src/net/upstream/upstream_connection.cpp
+++ b/src/net/upstream/upstream_connection.cpp
@@ -126,7 +126,7 @@
 void UpstreamConnection::finishResponse() {
     AttemptResult result = readAttemptResult(parser_->get());
     ++responseNumber_;
-    const bool isReusable = parser_->keep_alive() && input().size() == 0 && allWritten();
+    const bool isReusable = parser_->keep_alive() && input().size() == 0 && isFlushed();
     parser_.reset();
     const AttemptId attempt = std::exchange(attempt_, AttemptId::none);
     observer_.onResponse(attempt, std::move(result), isReusable);
--- a/src/net/upstream/upstream_connection.h
+++ b/src/net/upstream/upstream_connection.h
@@ -61,7 +61,7 @@
 
     // Returns whether the whole request of the attempt was passed to the kernel, so that the endpoint may run
     // it.
-    bool isRequestWritten() const { return bytesWritten() > bytesWrittenBefore_ && allWritten(); }
+    bool isRequestWritten() const { return bytesWritten() > bytesWrittenBefore_ && isFlushed(); }
 
     // Returns whether the connection carried another attempt before the present one.
     bool isReused() const { return bytesWrittenBefore_ > 0; }
--- a/tests/net/transport/tcp_connection_test.cpp
+++ b/tests/net/transport/tcp_connection_test.cpp
@@ -151,10 +151,10 @@
     connectAndAccept();
     connection->queue("a");
     EXPECT_EQ(connection->bytesWritten(), 0U);
-    EXPECT_FALSE(connection->allWritten());
+    EXPECT_FALSE(connection->isFlushed());
     connection->send("b");
     EXPECT_EQ(connection->bytesWritten(), 2U);
-    EXPECT_TRUE(connection->allWritten());
+    EXPECT_TRUE(connection->isFlushed());
     EXPECT_EQ(receive(peer), "ab");
 }
 
@@ -162,7 +162,7 @@
     connectAndAccept();
     const std::string output(std::size_t{32} * 1024 * 1024, 'x');  // more than the socket buffers can hold
     connection->send(output);
-    EXPECT_FALSE(connection->allWritten());
+    EXPECT_FALSE(connection->isFlushed());
     std::size_t receivedBytes = 0;
     while (receivedBytes < output.size()) receivedBytes += receive(peer).size();
     runUntil([&] { return !connection->calls.empty(); });
