--- a/src/net/client/client_session.cpp
+++ b/src/net/client/client_session.cpp
@@ -57,7 +57,7 @@
 bool ClientSession::shouldStayOpen() {
     if (!keepAlive_) return false;
     if (input().size() > 0) return true;
-    if (dropsInput()) return false;
+    if (isDiscardingInput()) return false;
     return !observer_.isDraining() || hasInput();
 }
 
@@ -106,7 +106,7 @@
         return;
     }
     // Drops further bytes instead of leaving them unread, so that the client's close is still noticed.
-    if (input().size() > kMaxPipelinedBytes) dropFurtherInput();
+    if (input().size() > kMaxPipelinedBytes) discardFurtherInput();
 }
 
 void ClientSession::readNext() {
@@ -132,7 +132,7 @@
 }
 
 void ClientSession::continueIncompleteRequest() {
-    if (dropsInput()) {  // the rest of the request was dropped, so it can't be completed
+    if (isDiscardingInput()) {  // the rest of the request was dropped, so it can't be completed
         linger();
         return;
     }
--- a/src/net/transport/tcp_connection.h
+++ b/src/net/transport/tcp_connection.h
@@ -100,10 +100,10 @@
     void discardInput();
 
     // Discards all bytes that arrive from now on, but keeps the present input.
-    void dropFurtherInput() { discarding_ = true; }
+    void discardFurtherInput() { discarding_ = true; }
 
     // Returns whether arriving bytes are discarded.
-    bool dropsInput() const { return discarding_; }
+    bool isDiscardingInput() const { return discarding_; }
 
     // Closes the sending direction. The connection stays open for reading.
     void shutdownSend();
--- a/tests/net/transport/tcp_connection_test.cpp
+++ b/tests/net/transport/tcp_connection_test.cpp
@@ -22,9 +22,9 @@
 public:
     explicit RecordingConnection(boost::asio::io_context& ioContext) : TcpConnection(ioContext) {}
 
+    using TcpConnection::discardFurtherInput;
     using TcpConnection::discardInput;
-    using TcpConnection::dropFurtherInput;
-    using TcpConnection::dropsInput;
+    using TcpConnection::isDiscardingInput;
     using TcpConnection::shutdownSend;
 
     std::string received() {
@@ -129,7 +129,7 @@
 TEST_F(TcpConnectionTest, DiscardsInputButReportsClose) {
     connectAndAccept();
     connection->discardInput();
-    EXPECT_TRUE(connection->dropsInput());
+    EXPECT_TRUE(connection->isDiscardingInput());
     write(peer, "x");
     peer.close();
     runUntil([&] { return isClosed(); });
@@ -140,7 +140,7 @@
     connectAndAccept();
     write(peer, "kept");
     runUntil([&] { return !connection->calls.empty(); });
-    connection->dropFurtherInput();
+    connection->discardFurtherInput();
     write(peer, "dropped");
     peer.close();
     runUntil([&] { return isClosed(); });
