--- a/src/net/transport/tcp_connection.cpp
+++ b/src/net/transport/tcp_connection.cpp
@@ -37,8 +37,8 @@
 
 void TcpConnection::connect(const tcp::endpoint& peer, TimerQueue& timers, Duration timeout,
                             const ReclaimDescriptor& reclaimDescriptor) {
-    lacksDescriptor_ = !openSocket(peer, reclaimDescriptor);
-    if (lacksDescriptor_) {
+    isOutOfDescriptors_ = !openSocket(peer, reclaimDescriptor);
+    if (isOutOfDescriptors_) {
         timers.schedule(Duration::zero(), [weak = weak_from_this()] {
             if (const auto self = weak.lock()) self->fail();
         });
--- a/src/net/transport/tcp_connection.h
+++ b/src/net/transport/tcp_connection.h
@@ -45,7 +45,7 @@
 
     // Returns whether connect() failed because this process has no file descriptor left. Such a failure says
     // nothing about the peer.
-    bool lacksDescriptor() const { return lacksDescriptor_; }
+    bool isOutOfDescriptors() const { return isOutOfDescriptors_; }
 
     // Returns whether received bytes have not been consumed, whether they are in input() or still in the
     // kernel.
@@ -132,7 +132,7 @@
     std::string output_;
     std::size_t outputPosition_ = 0;  // of the first unwritten byte
     std::uint64_t bytesWritten_ = 0;
-    bool lacksDescriptor_ = false;
+    bool isOutOfDescriptors_ = false;
     bool open_ = false;
     bool closed_ = false;
     bool reading_ = false;  // a read is pending
--- a/src/net/upstream/attempt_runner.cpp
+++ b/src/net/upstream/attempt_runner.cpp
@@ -114,7 +114,7 @@
     } else {
         // Neither the loss of a connection that had been idle nor a lack of file descriptors in this process
         // says anything about the endpoint's health.
-        const bool isEndpointAtFault = !connection->isReused() && !connection->lacksDescriptor();
+        const bool isEndpointAtFault = !connection->isReused() && !connection->isOutOfDescriptors();
         finish(id, isEndpointAtFault ? Outcome::connectFailed : Outcome::notSent);
     }
 }
--- a/tests/net/transport/tcp_connection_test.cpp
+++ b/tests/net/transport/tcp_connection_test.cpp
@@ -72,7 +72,7 @@
     EXPECT_FALSE(connection->isOpen());
     runUntil([&] { return connection->isOpen(); });
     EXPECT_EQ(connection->calls, (Calls{"connected"}));
-    EXPECT_FALSE(connection->lacksDescriptor());
+    EXPECT_FALSE(connection->isOutOfDescriptors());
 }
 
 TEST_F(TcpConnectionTest, ReportsRefusedConnectionAsClosed) {
@@ -82,7 +82,7 @@
     EXPECT_TRUE(connection->calls.empty());
     runUntil([&] { return isClosed(); });
     EXPECT_EQ(connection->calls, (Calls{"closed"}));
-    EXPECT_FALSE(connection->lacksDescriptor());
+    EXPECT_FALSE(connection->isOutOfDescriptors());
 }
 
 TEST_F(TcpConnectionTest, DoesNotReportOwnClose) {
