--- a/src/net/client/client_request_reader.cpp
+++ b/src/net/client/client_request_reader.cpp
@@ -14,7 +14,7 @@
 // Returns the status to reject the request with, or nothing if reading can continue. `ec` is the parser's
 // result.
 std::optional<http::status> findRejection(const Parser& parser, const error_code& ec) {
-    if (announcesBodyOver(parser, kMaxBodyBytes)) return http::status::payload_too_large;
+    if (hasContentLengthOver(parser, kMaxBodyBytes)) return http::status::payload_too_large;
     if (parser.is_header_done() && hasAmbiguousLength(parser.get())) return http::status::bad_request;
     if (!ec || ec == http::error::need_more) return std::nullopt;
     if (ec == http::error::body_limit) return http::status::payload_too_large;
--- a/src/net/counter/counter_protocol.cpp
+++ b/src/net/counter/counter_protocol.cpp
@@ -52,7 +52,7 @@
     const std::size_t used = parser_->put(input.data(), ec);
     input.consume(used);
     if (ec == http::error::need_more) return Progress::incomplete;
-    if (announcesBodyOver(*parser_, kMaxResponseBytes)) return Progress::malformed;
+    if (hasContentLengthOver(*parser_, kMaxResponseBytes)) return Progress::malformed;
     if (ec || parser_->need_eof()) return Progress::malformed;
     if (!parser_->is_done()) return Progress::incomplete;
     if (parser_->get().result_int() >= kFirstFinalStatus) return Progress::complete;
--- a/src/net/transport/http_limits.h
+++ b/src/net/transport/http_limits.h
@@ -16,7 +16,7 @@
 // Required in addition to the parser's body_limit: Beast 1.74 does not apply body_limit if the first bytes of
 // the body arrive together with the end of the header.
 template <class Parser>
-bool announcesBodyOver(const Parser& parser, std::uint64_t maxBytes) {
+bool hasContentLengthOver(const Parser& parser, std::uint64_t maxBytes) {
     if (!parser.is_header_done()) return false;
     const auto length = parser.content_length();
     return length && *length > maxBytes;
--- a/src/net/upstream/upstream_connection.cpp
+++ b/src/net/upstream/upstream_connection.cpp
@@ -101,7 +101,7 @@
     error_code ec;
     const std::size_t used = parser_->put(input().data(), ec);
     input().consume(used);
-    if (announcesBodyOver(*parser_, kMaxBodyBytes)) return ParseProgress::malformed;
+    if (hasContentLengthOver(*parser_, kMaxBodyBytes)) return ParseProgress::malformed;
     if (ec == http::error::need_more) return ParseProgress::incomplete;
     // A response without a length ends with the connection, so a truncated one can't be detected.
     if (ec || parser_->need_eof()) return ParseProgress::malformed;
