--- a/src/net/client/client_server.cpp
+++ b/src/net/client/client_server.cpp
@@ -105,7 +105,7 @@
 }
 
 bool ClientServer::endIfDisconnected(ClientSession& session) {
-    if (!session.peerHasClosed()) return false;
+    if (!session.hasPeerClosed()) return false;
     session.end();
     return true;
 }
--- a/src/net/transport/tcp_connection.cpp
+++ b/src/net/transport/tcp_connection.cpp
@@ -122,7 +122,7 @@
     return !ec && size > 0 ? PeekResult::bytes : PeekResult::end;
 }
 
-bool TcpConnection::peerHasClosed() {
+bool TcpConnection::hasPeerClosed() {
     if (closed_) return true;
     const PeekResult result = peek();
     if (result != PeekResult::bytes) return result == PeekResult::end;
--- a/src/net/transport/tcp_connection.h
+++ b/src/net/transport/tcp_connection.h
@@ -56,7 +56,7 @@
 
     // Returns whether the peer has closed its sending direction or the connection has failed, even if
     // received bytes have not been read yet. Makes one system call, or two if there are unread bytes.
-    bool peerHasClosed();
+    bool hasPeerClosed();
 
     // Appends `bytes` to the output and writes as much as the kernel accepts. The rest is written when the
     // socket becomes writable.
--- a/tests/net/transport/tcp_connection_test.cpp
+++ b/tests/net/transport/tcp_connection_test.cpp
@@ -92,7 +92,7 @@
     ioContext.run_for(milliseconds(20));
     EXPECT_TRUE(connection->calls.empty());
     EXPECT_FALSE(connection->isOpen());
-    EXPECT_TRUE(connection->peerHasClosed());
+    EXPECT_TRUE(connection->hasPeerClosed());
 }
 
 TEST_F(TcpConnectionTest, ReadsInput) {
@@ -110,9 +110,9 @@
     write(peer, "x");
     while (!connection->hasInput()) {
     }
-    EXPECT_FALSE(connection->peerHasClosed());
+    EXPECT_FALSE(connection->hasPeerClosed());
     peer.shutdown(tcp::socket::shutdown_send);
-    while (!connection->peerHasClosed()) {
+    while (!connection->hasPeerClosed()) {
     }
     EXPECT_TRUE(connection->calls.empty());
     EXPECT_EQ(connection->received(), "");
--- a/tests/net/upstream/idle_connection_pool_test.cpp
+++ b/tests/net/upstream/idle_connection_pool_test.cpp
@@ -101,7 +101,7 @@
     const ConnectionPtr usable = addIdleFor(seconds(2), endpoint);
     const ConnectionPtr closed = addIdleFor(kCooldown, endpoint);
     peers[1].close();
-    while (!closed->peerHasClosed()) {
+    while (!closed->hasPeerClosed()) {
     }
     EXPECT_EQ(pool->take(endpoint), usable);
     EXPECT_FALSE(closed->isOpen());
