--- a/src/decision/engine/attempt_dispatcher.cpp
+++ b/src/decision/engine/attempt_dispatcher.cpp
@@ -29,7 +29,7 @@
     limiter_.beginAttempt();
     endpoint.beginAttempt(work);
     const Duration maxSendDelay = retries_.maxSendDelay(request, context.now);
-    context.act(SendAttempt{request.arrival.request, endpoint.entry().id, timeout, maxSendDelay});
+    context.emit(SendAttempt{request.arrival.request, endpoint.entry().id, timeout, maxSendDelay});
     return true;
 }
 
@@ -40,15 +40,16 @@
     limiter_.endAttempt();
     endpoint.endAttempt();
     observe(request, ended, endpoint, now);
-    if (!provesNeverRan(ended.outcome) && !request.possibleRun)
-        request.possibleRun = PossibleRun{endpoint.entry().zone, endpoint.entry().cell, attempt.sentAt};
+    if (!provesNotExecuted(ended.outcome) && !request.possibleExecution)
+        request.possibleExecution =
+            PossibleExecution{endpoint.entry().zone, endpoint.entry().cell, attempt.sentAt};
 }
 
 void AttemptDispatcher::observe(const Request& request, const AttemptEnded& ended, Endpoint& endpoint,
                                 TimePoint now) {
     const AttemptSample sample = latency_.observe(request, ended);
     endpoint.observeAttempt(ended, sample, now);
-    stats_.observe(endpoint.load(), endpoints_.listedCount(), now);
+    stats_.observe(endpoint.load(), endpoints_.endpointCount(), now);
     limiter_.observe(sample, ended.outcome);
     slowStart_.observe(endpoint, sample, now);
     if (ended.outcome == Outcome::ok)
--- a/src/decision/engine/request_lifecycle.cpp
+++ b/src/decision/engine/request_lifecycle.cpp
@@ -8,10 +8,10 @@
 namespace gateway {
 namespace {
 
-// Share of the latency objective that a request waits for the counter at most.
+// Longest wait for the counter, as a share of the latency objective.
 constexpr double kMaxCounterWaitShare = 0.1;
 
-// Share of a class's expected time that must be left to the client for an attempt to make sense.
+// Time until the client's deadline that an attempt needs, as a share of the expected response time.
 constexpr double kMinRemainingTimeShare = 0.3;
 
 }  // namespace
@@ -31,7 +31,7 @@
 
 void RequestLifecycle::onRequestArrived(EventContext& context, const RequestArrived& arrival) {
     Request& request = requests_.add(arrival, context.now);
-    // The counter is not called for a client that is about to give up: its reply would come too late.
+    // A request without enough time is answered without a call to the counter: the reply would be too late.
     if (!hasTimeToBeServed(request, context.now)) {
         answerUnserved(context, request, Duration{});
     } else if (planOf(request) == nullptr) {
@@ -60,7 +60,7 @@
     const Duration maxWait = std::min(settings_.counterTimeout, untilDeadline / 2);
     const Duration objective = latency_.latencyObjective(request.arrival.requestClass);
     const Duration wait = fromSeconds(toSeconds(objective) * kMaxCounterWaitShare);
-    context.setTimer(CounterWaitOver{request.key}, std::min(maxWait, wait));
+    context.setTimer(CounterWaitExpired{request.key}, std::min(maxWait, wait));
 }
 
 void RequestLifecycle::onCounterReplied(EventContext& context, const CounterReplied& reply) {
@@ -77,7 +77,7 @@
     if (request->charge.pendingReplies <= 0 || !ok) decide(context, *request);
 }
 
-void RequestLifecycle::onCounterWaitOver(EventContext& context, const CounterWaitOver& timer) {
+void RequestLifecycle::onCounterWaitExpired(EventContext& context, const CounterWaitExpired& timer) {
     Request* request = requests_.find(timer.request);
     if (request != nullptr && !request->decided) decide(context, *request);
 }
@@ -101,7 +101,7 @@
         return;
     }
     if (!request.reachedEndpoint) ledger_.refundUnsent(context, request);
-    answerUnserved(context, request, expectedTime(request));
+    answerUnserved(context, request, expectedResponseTime(request));
 }
 
 void RequestLifecycle::onStreamStarted(const StreamStarted& started) {
@@ -118,8 +118,8 @@
     Tenant* tenant = tenants_.find(request->arrival.tenant);
     if (tenant != nullptr) --tenant->inFlight;
     attempts_.recordEnd(*request, ended, context.now);
-    recordReached(*request, ended.outcome);
-    settleCost(context, *request, ended, tenant);
+    recordEndpointReached(*request, ended.outcome);
+    recordReportedUsage(context, *request, ended, tenant);
     if (ended.requestClosed) request->closed = true;
 
     if (!request->closed && retries_.tryAcquireRetry(*request, context.now)) {
@@ -130,35 +130,35 @@
     if (request->closed) {
         requests_.eraseIfDone(*request);
     } else {
-        answerUnserved(context, *request, expectedTime(*request));
+        answerUnserved(context, *request, expectedResponseTime(*request));
     }
 }
 
-// A quota counts a request that reached an endpoint; a ceiling counts it as soon as an attempt was sent.
-void RequestLifecycle::recordReached(Request& request, Outcome outcome) const {
+// A quota charges a request that reached an endpoint. A ceiling also charges one that failed to connect.
+void RequestLifecycle::recordEndpointReached(Request& request, Outcome outcome) const {
     const QuotaPlan* plan = planOf(request);
     const bool hasCeiling = plan != nullptr && plan->ceilingRate > 0;
     const bool neverConnected = outcome == Outcome::connectFailed && !hasCeiling;
     if (outcome != Outcome::notSent && !neverConnected) request.reachedEndpoint = true;
 }
 
-void RequestLifecycle::settleCost(EventContext& context, Request& request, const AttemptEnded& ended,
-                                  Tenant* tenant) {
+void RequestLifecycle::recordReportedUsage(EventContext& context, Request& request, const AttemptEnded& ended,
+                                           Tenant* tenant) {
     if (tenant == nullptr) return;
     if (ended.quotaUsagePercent) tenant->usage.recordMeter(*ended.quotaUsagePercent);
     if (ended.actualCost)
         ledger_.reconcile(context, *tenant, request, *ended.actualCost - request.arrival.cost);
 }
 
-// ---- The end --------------------------------------------------------------------------------------
+// ---- Final answers and disconnects ----------------------------------------------------------------
 
 void RequestLifecycle::answerUnserved(EventContext& context, Request& request, Duration retryAfter) {
     if (retries_.isClientRetrySafe(request, context.now)) {
         const Duration advice =
             settings_.retryAfterAllowed ? std::min(retryAfter, settings_.maxRetryAfter) : Duration{};
-        context.act(RejectRequest{request.arrival.request, advice});
+        context.emit(RejectRequest{request.arrival.request, advice});
     } else {
-        context.act(FailRequest{request.arrival.request});
+        context.emit(FailRequest{request.arrival.request});
     }
     request.closed = true;
     request.decided = true;
@@ -177,7 +177,7 @@
 void RequestLifecycle::cancelAttempts(EventContext& context, const Request& request) const {
     for (std::size_t i = 0; i < request.attempts.size(); ++i) {
         if (request.attempts[i].ended) continue;
-        context.act(CancelAttempt{request.arrival.request, static_cast<int>(i)});
+        context.emit(CancelAttempt{request.arrival.request, static_cast<int>(i)});
     }
 }
 
@@ -195,7 +195,7 @@
     return toSeconds(request.arrival.deadline - now) >= kMinRemainingTimeShare * expected;
 }
 
-Duration RequestLifecycle::expectedTime(const Request& request) const {
+Duration RequestLifecycle::expectedResponseTime(const Request& request) const {
     return fromSeconds(latency_.expectedSeconds(request.arrival.requestClass));
 }
 
--- a/src/net/client/client_session.h
+++ b/src/net/client/client_session.h
@@ -67,18 +67,18 @@
     bool isIdle() const { return !isBusy_ && !isLingering_ && !reader_.isPartial() && isFlushed(); }
 
     // Returns whether no response has been sent.
-    bool isFresh() const { return responses_ == 0; }
+    bool isBeforeFirstResponse() const { return responses_ == 0; }
 
     // Returns whether no response has been sent and no byte received.
-    bool hasExchangedNothing() { return isFresh() && isIdle() && !hasInput(); }
+    bool isUnused() { return isBeforeFirstResponse() && isIdle() && !hasInput(); }
 
     // Returns for how long the client has been sending an incomplete request, or has not received a complete
     // response; 0 if neither is the case. For the first request, the time is measured from the start of the
     // connection.
-    Duration stuckFor(TimePoint now) const;
+    Duration stalledFor(TimePoint now) const;
 
     // Returns when the session last received bytes or sent a response.
-    std::chrono::steady_clock::time_point activeAt() const { return activeAt_; }
+    std::chrono::steady_clock::time_point lastActiveAt() const { return lastActiveAt_; }
 
 private:
     void onReceived() override;
@@ -105,7 +105,7 @@
     std::string output_;  // a member to reuse its capacity
     TimePoint acceptedAt_;
     TimePoint blockedAt_{};  // when a response was sent that the kernel did not accept completely
-    std::chrono::steady_clock::time_point activeAt_ = std::chrono::steady_clock::now();
+    std::chrono::steady_clock::time_point lastActiveAt_ = std::chrono::steady_clock::now();
     std::uint64_t responses_ = 0;
     bool hasEnded_ = false;
     bool isBusy_ = false;       // a request is in flight
--- a/src/net/config/config.cpp
+++ b/src/net/config/config.cpp
@@ -10,8 +10,8 @@
 namespace gateway::net {
 namespace {
 
-constexpr int kDefaultSockets = 1024;
-constexpr int kMinSockets = 64;
+constexpr int kDefaultDescriptorLimit = 1024;
+constexpr int kMinDescriptorLimit = 64;
 constexpr double kDefaultKeepAliveSeconds = 15;
 constexpr int kHexBase = 16;
 
@@ -19,9 +19,9 @@
     std::vector<std::string> names;
     const Json* list = fields.find(key);
     if (list == nullptr) return names;
-    if (!list->is_array()) fields.complain(key, "must be a list");
+    if (!list->is_array()) fields.throwError(key, "must be an array of strings");
     for (const Json& name : *list) {
-        if (!name.is_string()) fields.complain(key, "must be a list of texts");
+        if (!name.is_string()) fields.throwError(key, "must be an array of strings");
         names.push_back(name.get<std::string>());
     }
     return names;
@@ -32,7 +32,8 @@
     const char* const end = text.data() + text.size();
     std::uint64_t seed = 0;
     const auto parsed = std::from_chars(text.data(), end, seed, kHexBase);
-    if (parsed.ec != std::errc() || parsed.ptr != end) fields.complain("seed", "must be up to 16 hex digits");
+    if (parsed.ec != std::errc() || parsed.ptr != end)
+        fields.throwError("seed", "must be 1 to 16 hexadecimal digits, found '" + text + "'");
     return seed;
 }
 
@@ -56,28 +57,29 @@
 
 void readLimits(const Fields& fields, Config& config) {
     if (!fields.has("limits")) return;
-    const int sockets = fields.object("limits").integer("sockets", kDefaultSockets);
-    if (sockets < kMinSockets) fields.complain("limits.sockets", "must be 64 or more");
-    config.sockets = static_cast<std::size_t>(sockets);
+    const int maxDescriptors = fields.object("limits").integer("sockets", kDefaultDescriptorLimit);
+    if (maxDescriptors < kMinDescriptorLimit)
+        fields.throwError("limits.sockets", "must be 64 or more, found " + std::to_string(maxDescriptors));
+    config.maxDescriptors = static_cast<std::size_t>(maxDescriptors);
 }
 
 void readGatewaySettings(const Fields& fields, Config& config) {
     const Fields settings = fields.object("settings");
     config.settings = readSettings(settings);
     if (config.settings.counterEnabled && !config.counter)
-        fields.complain("counter", "is missing though the settings use it");
-    settings.each("classes", [&](const Fields& item) { config.classNames.push_back(item.text("name")); });
+        fields.throwError("counter", "is missing, but settings.domain.mayCount is true");
+    settings.forEach("classes", [&](const Fields& item) { config.classNames.push_back(item.text("name")); });
     if (settings.has("contracts"))
-        settings.each("contracts",
-                      [&](const Fields& item) { config.planNames.push_back(item.text("name")); });
-    config.keepAlive = settings.object("allowed").seconds("keepaliveS", kDefaultKeepAliveSeconds);
+        settings.forEach("contracts",
+                         [&](const Fields& item) { config.planNames.push_back(item.text("name")); });
+    config.upstreamKeepAlive = settings.object("allowed").seconds("keepaliveS", kDefaultKeepAliveSeconds);
     config.vocabulary = {readNames(settings, "zones"), readNames(settings, "kinds")};
 }
 
 }  // namespace
 
 Config readConfig(const std::string& text, ConfigLoad load) {
-    return readInput<ConfigError>([&] {
+    return rethrowFieldErrorAs<ConfigError>([&] {
         const Json document = parseJson(text, "config");
         const Fields fields(document, "config");
         Config config;
@@ -85,16 +87,18 @@
         config.seed = readSeed(fields);
         readLimits(fields, config);
         readGatewaySettings(fields, config);
-        if (fields.has("known")) config.known = readEndpointList(fields.object("known"), config.vocabulary);
+        if (fields.has("known"))
+            config.cachedEndpoints = readEndpointList(fields.object("known"), config.vocabulary);
         return config;
     });
 }
 
-Config configFromEnvironment(ConfigLoad load) {
+Config loadConfig(ConfigLoad load) {
     const char* const path = std::getenv("EDGE_CONFIG");
-    if (path == nullptr || *path == '\0') throw ConfigError("EDGE_CONFIG", "is not set");
+    if (path == nullptr || *path == '\0')
+        throw ConfigError("EDGE_CONFIG", "is not set; it must name the configuration file");
     const std::ifstream file(path);
-    if (!file) throw ConfigError("EDGE_CONFIG", std::string("cannot read ") + path);
+    if (!file) throw ConfigError("EDGE_CONFIG", std::string("can't open the configuration file ") + path);
     std::ostringstream text;
     text << file.rdbuf();
     return readConfig(text.str(), load);
--- a/src/net/server/service.cpp
+++ b/src/net/server/service.cpp
@@ -42,7 +42,7 @@
     void reload() {
         try {
             server_.ensureFreeDescriptor();
-            server_.reload(configFromEnvironment(ConfigLoad::reload));
+            server_.reload(loadConfig(ConfigLoad::reload));
         } catch (const std::exception& e) {
             log(LogLevel::error, "SIGHUP",
                 std::string("configuration not reloaded, continuing with the previous one: ") + e.what());
