--- a/src/net/transport/timer_queue.cpp
+++ b/src/net/transport/timer_queue.cpp
@@ -51,7 +51,7 @@
 
 void TimerQueue::fireDue() {
     const SteadyTimePoint now = steady_clock::now();
-    armedFor_ = SteadyTimePoint::min();  // callbacks that schedule timers must not arm it
+    armedFor_ = SteadyTimePoint::min();  // schedule() does not arm while callbacks run
     while (!entries_.empty() && entries_.top().first <= now) {
         const Token token = entries_.top().second;
         entries_.pop();
--- a/tests/net/transport/tcp_connection_test.cpp
+++ b/tests/net/transport/tcp_connection_test.cpp
@@ -76,9 +76,9 @@
 }
 
 TEST_F(TcpConnectionTest, ReportsRefusedConnectionAsClosed) {
-    const tcp::endpoint refusing = address();
+    const tcp::endpoint refusingAddress = address();
     acceptor.close();
-    connection->connect(refusing, timers, seconds(20));
+    connection->connect(refusingAddress, timers, seconds(20));
     EXPECT_TRUE(connection->calls.empty());
     runUntil([&] { return isClosed(); });
     EXPECT_EQ(connection->calls, (Calls{"closed"}));
--- a/tests/net/transport/timer_exception_test.cpp
+++ b/tests/net/transport/timer_exception_test.cpp
@@ -23,7 +23,7 @@
     boost::asio::io_context loop;
     TimerQueue timers(loop);
     bool hasFired = false;
-    timers.schedule(Duration::zero(), [] { throw std::runtime_error("of one connection"); });
+    timers.schedule(Duration::zero(), [] { throw std::runtime_error("expected by the test"); });
     timers.schedule(std::chrono::milliseconds(10), [&] { hasFired = true; });
     runLoop(loop);
     EXPECT_TRUE(hasFired);
