--- a/src/net/client/client_session.cpp
+++ b/src/net/client/client_session.cpp
@@ -25,7 +25,7 @@
 
 Duration ClientSession::stalledFor(TimePoint now) const {
     if (isBusy_ || isLingering_) return {};
-    if (!allWritten()) return now - blockedAt_;
+    if (!isFlushed()) return now - blockedAt_;
     if (!reader_.isPartial()) return {};
     return now - (isBeforeFirstResponse() ? acceptedAt_ : reader_.startedAt());
 }
@@ -40,14 +40,14 @@
     appendResponse(output_, response, staysOpen);
     send(output_);
     lastActiveAt_ = steady_clock::now();
-    if (!allWritten()) blockedAt_ = clock_.now();
+    if (!isFlushed()) blockedAt_ = clock_.now();
     if (!staysOpen) {
         linger();
         return;
     }
     if (input().size() == 0) return;
     // The next request is already in the input. Reads it from the event loop to avoid recursion.
-    timers_.after(Duration::zero(), [weak = weak_from_this()] {
+    timers_.schedule(Duration::zero(), [weak = weak_from_this()] {
         if (const auto session = weak.lock()) static_cast<ClientSession&>(*session).readNext();
     });
 }
@@ -57,7 +57,7 @@
 bool ClientSession::shouldStayOpen() {
     if (!keepAlive_) return false;
     if (input().size() > 0) return true;
-    if (dropsInput()) return false;
+    if (isDiscardingInput()) return false;
     return !observer_.isDraining() || hasInput();
 }
 
@@ -75,9 +75,9 @@
 // a reset that destroys the last response before the client reads it.
 void ClientSession::linger() {
     isLingering_ = true;
-    if (allWritten()) shutdownSend();
+    if (isFlushed()) shutdownSend();
     discardInput();
-    timers_.after(kLingerTime, [weak = weak_from_this()] {
+    timers_.schedule(kLingerTime, [weak = weak_from_this()] {
         const auto session = weak.lock();
         if (session && session->isOpen()) static_cast<ClientSession&>(*session).end();
     });
@@ -106,7 +106,7 @@
         return;
     }
     // Drops further bytes instead of leaving them unread, so that the client's close is still noticed.
-    if (input().size() > kMaxPipelinedBytes) dropFurtherInput();
+    if (input().size() > kMaxPipelinedBytes) discardFurtherInput();
 }
 
 void ClientSession::readNext() {
@@ -132,7 +132,7 @@
 }
 
 void ClientSession::continueIncompleteRequest() {
-    if (dropsInput()) {  // the rest of the request was dropped, so it can't be completed
+    if (isDiscardingInput()) {  // the rest of the request was dropped, so it can't be completed
         linger();
         return;
     }
--- a/src/net/counter/counter_client.cpp
+++ b/src/net/counter/counter_client.cpp
@@ -134,10 +134,10 @@
     const Channel& channel = channels_[connection.channelIndex()];
     if (channel.previous.get() != &connection || !connection.isIdle()) return;
     // Closes the connection from the event loop, since it may still be reading its input.
-    timers_.after(Duration::zero(),
-                  [this, index = connection.channelIndex(), weak = std::weak_ptr(channel.previous)] {
-                      if (const auto previous = weak.lock()) closePrevious(index, previous);
-                  });
+    timers_.schedule(Duration::zero(),
+                     [this, index = connection.channelIndex(), weak = std::weak_ptr(channel.previous)] {
+                         if (const auto previous = weak.lock()) closePrevious(index, previous);
+                     });
 }
 
 void CounterClient::closePrevious(std::size_t index, const ConnectionPtr& previous) {
--- a/src/net/counter/counter_connection.cpp
+++ b/src/net/counter/counter_connection.cpp
@@ -39,7 +39,7 @@
         queueCall(call, text);
     else
         call.heldRequest = std::move(text);
-    call.timeoutTimer = timers_.after(callTimeout_, [this, weak = weak_from_this(), number = call.number] {
+    call.timeoutTimer = timers_.schedule(callTimeout_, [this, weak = weak_from_this(), number = call.number] {
         if (const auto self = weak.lock()) expireCall(number);
     });
     calls_.push_back(std::move(call));
@@ -145,7 +145,7 @@
 }
 
 void CounterConnection::onClosed() {
-    const bool wasConnected = isOpen() || written() > 0;
+    const bool wasConnected = isOpen() || bytesWritten() > 0;
     // Informs the observer first, because failAll() can cause new calls, which must use another connection.
     observer_.onBroken(*this, wasConnected);
     failAll(Outcome::reset);
--- a/src/net/transport/tcp_connection.cpp
+++ b/src/net/transport/tcp_connection.cpp
@@ -37,9 +37,9 @@
 
 void TcpConnection::connect(const tcp::endpoint& peer, TimerQueue& timers, Duration timeout,
                             const ReclaimDescriptor& reclaimDescriptor) {
-    lacksDescriptor_ = !openSocket(peer, reclaimDescriptor);
-    if (lacksDescriptor_) {
-        timers.after(Duration::zero(), [weak = weak_from_this()] {
+    isOutOfDescriptors_ = !openSocket(peer, reclaimDescriptor);
+    if (isOutOfDescriptors_) {
+        timers.schedule(Duration::zero(), [weak = weak_from_this()] {
             if (const auto self = weak.lock()) self->fail();
         });
         return;
@@ -56,7 +56,7 @@
         });
     });
     // An unreachable machine never answers, so only this timer ends the attempt to connect.
-    timers.after(timeout, [weak = weak_from_this()] {
+    timers.schedule(timeout, [weak = weak_from_this()] {
         const auto self = weak.lock();
         if (self && !self->open_) self->fail();
     });
@@ -122,7 +122,7 @@
     return !ec && size > 0 ? PeekResult::bytes : PeekResult::end;
 }
 
-bool TcpConnection::peerHasClosed() {
+bool TcpConnection::hasPeerClosed() {
     if (closed_) return true;
     const PeekResult result = peek();
     if (result != PeekResult::bytes) return result == PeekResult::end;
@@ -133,14 +133,14 @@
 // ---- Writing --------------------------------------------------------------------------------------
 
 void TcpConnection::flush() {
-    if (!open_ || closed_ || writing_ || allWritten()) return;
+    if (!open_ || closed_ || writing_ || isFlushed()) return;
     error_code ec;
     const auto unwritten =
         boost::asio::buffer(output_.data() + outputPosition_, output_.size() - outputPosition_);
     const std::size_t size = socket_.write_some(unwritten, ec);
-    written_ += size;
+    bytesWritten_ += size;
     outputPosition_ += size;
-    if (allWritten()) {
+    if (isFlushed()) {
         output_.clear();
         outputPosition_ = 0;
         if (output_.capacity() > kMaxIdleOutputCapacity) output_.shrink_to_fit();
@@ -159,7 +159,7 @@
         if (closed_ || ec) return;
         runGuarded([this] {
             flush();
-            if (!closed_ && allWritten()) onSendDrained();
+            if (!closed_ && isFlushed()) onSendDrained();
         });
     });
 }
--- a/src/net/transport/tcp_connection.h
+++ b/src/net/transport/tcp_connection.h
@@ -45,7 +45,7 @@
 
     // Returns whether connect() failed because this process has no file descriptor left. Such a failure says
     // nothing about the peer.
-    bool lacksDescriptor() const { return lacksDescriptor_; }
+    bool isOutOfDescriptors() const { return isOutOfDescriptors_; }
 
     // Returns whether received bytes have not been consumed, whether they are in input() or still in the
     // kernel.
@@ -56,7 +56,7 @@
 
     // Returns whether the peer has closed its sending direction or the connection has failed, even if
     // received bytes have not been read yet. Makes one system call, or two if there are unread bytes.
-    bool peerHasClosed();
+    bool hasPeerClosed();
 
     // Appends `bytes` to the output and writes as much as the kernel accepts. The rest is written when the
     // socket becomes writable.
@@ -79,10 +79,10 @@
     bool isOpen() const { return open_; }
 
     // The number of bytes that were passed to the kernel since the connection was established.
-    std::uint64_t written() const { return written_; }
+    std::uint64_t bytesWritten() const { return bytesWritten_; }
 
     // Returns whether all output was passed to the kernel.
-    bool allWritten() const { return output_.size() == outputPosition_; }
+    bool isFlushed() const { return output_.size() == outputPosition_; }
 
 protected:
     // Constructs a connection for connect(). `ioContext` must outlive it.
@@ -100,10 +100,10 @@
     void discardInput();
 
     // Discards all bytes that arrive from now on, but keeps the present input.
-    void dropFurtherInput() { discarding_ = true; }
+    void discardFurtherInput() { discarding_ = true; }
 
     // Returns whether arriving bytes are discarded.
-    bool dropsInput() const { return discarding_; }
+    bool isDiscardingInput() const { return discarding_; }
 
     // Closes the sending direction. The connection stays open for reading.
     void shutdownSend();
@@ -131,8 +131,8 @@
     boost::beast::flat_buffer input_{kMaxInputBytes};
     std::string output_;
     std::size_t outputPosition_ = 0;  // of the first unwritten byte
-    std::uint64_t written_ = 0;
-    bool lacksDescriptor_ = false;
+    std::uint64_t bytesWritten_ = 0;
+    bool isOutOfDescriptors_ = false;
     bool open_ = false;
     bool closed_ = false;
     bool reading_ = false;  // a read is pending
--- a/src/net/upstream/upstream_connection.cpp
+++ b/src/net/upstream/upstream_connection.cpp
@@ -57,7 +57,7 @@
     if (request.method != "GET")
         text.append("\r\nContent-Length: ").append(std::to_string(request.body.size()));
     text.append("\r\n\r\n").append(request.body);
-    bytesWrittenBefore_ = written();
+    bytesWrittenBefore_ = bytesWritten();
     send(text);
 }
 
@@ -74,7 +74,7 @@
         observer_.onUnexpectedInput(self());
         return;
     }
-    if (written() == bytesWrittenBefore_) {  // no byte of the request was written yet
+    if (bytesWritten() == bytesWrittenBefore_) {  // no byte of the request was written yet
         closeAsBroken();
         return;
     }
@@ -101,7 +101,7 @@
     error_code ec;
     const std::size_t used = parser_->put(input().data(), ec);
     input().consume(used);
-    if (announcesBodyOver(*parser_, kMaxBodyBytes)) return ParseProgress::malformed;
+    if (hasContentLengthOver(*parser_, kMaxBodyBytes)) return ParseProgress::malformed;
     if (ec == http::error::need_more) return ParseProgress::incomplete;
     // A response without a length ends with the connection, so a truncated one can't be detected.
     if (ec || parser_->need_eof()) return ParseProgress::malformed;
@@ -116,7 +116,7 @@
 void UpstreamConnection::limitResponseTime() {
     if (timeLimitedResponseNumber_ == responseNumber_) return;
     timeLimitedResponseNumber_ = responseNumber_;
-    timers_.after(kMaxResponseTime, [weak = weak_from_this(), number = responseNumber_] {
+    timers_.schedule(kMaxResponseTime, [weak = weak_from_this(), number = responseNumber_] {
         const auto connection = std::static_pointer_cast<UpstreamConnection>(weak.lock());
         if (connection && connection->isOpen() && connection->responseNumber_ == number)
             connection->closeAsBroken();
@@ -126,7 +126,7 @@
 void UpstreamConnection::finishResponse() {
     AttemptResult result = readAttemptResult(parser_->get());
     ++responseNumber_;
-    const bool isReusable = parser_->keep_alive() && input().size() == 0 && allWritten();
+    const bool isReusable = parser_->keep_alive() && input().size() == 0 && isFlushed();
     parser_.reset();
     const AttemptId attempt = std::exchange(attempt_, AttemptId::none);
     observer_.onResponse(attempt, std::move(result), isReusable);
--- a/tests/net/transport/tcp_connection_test.cpp
+++ b/tests/net/transport/tcp_connection_test.cpp
@@ -22,9 +22,9 @@
 public:
     explicit RecordingConnection(boost::asio::io_context& ioContext) : TcpConnection(ioContext) {}
 
+    using TcpConnection::discardFurtherInput;
     using TcpConnection::discardInput;
-    using TcpConnection::dropFurtherInput;
-    using TcpConnection::dropsInput;
+    using TcpConnection::isDiscardingInput;
     using TcpConnection::shutdownSend;
 
     std::string received() {
@@ -72,17 +72,17 @@
     EXPECT_FALSE(connection->isOpen());
     runUntil([&] { return connection->isOpen(); });
     EXPECT_EQ(connection->calls, (Calls{"connected"}));
-    EXPECT_FALSE(connection->lacksDescriptor());
+    EXPECT_FALSE(connection->isOutOfDescriptors());
 }
 
 TEST_F(TcpConnectionTest, ReportsRefusedConnectionAsClosed) {
-    const tcp::endpoint refusing = address();
+    const tcp::endpoint refusingAddress = address();
     acceptor.close();
-    connection->connect(refusing, timers, seconds(20));
+    connection->connect(refusingAddress, timers, seconds(20));
     EXPECT_TRUE(connection->calls.empty());
     runUntil([&] { return isClosed(); });
     EXPECT_EQ(connection->calls, (Calls{"closed"}));
-    EXPECT_FALSE(connection->lacksDescriptor());
+    EXPECT_FALSE(connection->isOutOfDescriptors());
 }
 
 TEST_F(TcpConnectionTest, DoesNotReportOwnClose) {
@@ -92,7 +92,7 @@
     ioContext.run_for(milliseconds(20));
     EXPECT_TRUE(connection->calls.empty());
     EXPECT_FALSE(connection->isOpen());
-    EXPECT_TRUE(connection->peerHasClosed());
+    EXPECT_TRUE(connection->hasPeerClosed());
 }
 
 TEST_F(TcpConnectionTest, ReadsInput) {
@@ -110,9 +110,9 @@
     write(peer, "x");
     while (!connection->hasInput()) {
     }
-    EXPECT_FALSE(connection->peerHasClosed());
+    EXPECT_FALSE(connection->hasPeerClosed());
     peer.shutdown(tcp::socket::shutdown_send);
-    while (!connection->peerHasClosed()) {
+    while (!connection->hasPeerClosed()) {
     }
     EXPECT_TRUE(connection->calls.empty());
     EXPECT_EQ(connection->received(), "");
@@ -129,7 +129,7 @@
 TEST_F(TcpConnectionTest, DiscardsInputButReportsClose) {
     connectAndAccept();
     connection->discardInput();
-    EXPECT_TRUE(connection->dropsInput());
+    EXPECT_TRUE(connection->isDiscardingInput());
     write(peer, "x");
     peer.close();
     runUntil([&] { return isClosed(); });
@@ -140,7 +140,7 @@
     connectAndAccept();
     write(peer, "kept");
     runUntil([&] { return !connection->calls.empty(); });
-    connection->dropFurtherInput();
+    connection->discardFurtherInput();
     write(peer, "dropped");
     peer.close();
     runUntil([&] { return isClosed(); });
@@ -150,11 +150,11 @@
 TEST_F(TcpConnectionTest, WritesQueuedBytesInOrder) {
     connectAndAccept();
     connection->queue("a");
-    EXPECT_EQ(connection->written(), 0U);
-    EXPECT_FALSE(connection->allWritten());
+    EXPECT_EQ(connection->bytesWritten(), 0U);
+    EXPECT_FALSE(connection->isFlushed());
     connection->send("b");
-    EXPECT_EQ(connection->written(), 2U);
-    EXPECT_TRUE(connection->allWritten());
+    EXPECT_EQ(connection->bytesWritten(), 2U);
+    EXPECT_TRUE(connection->isFlushed());
     EXPECT_EQ(receive(peer), "ab");
 }
 
@@ -162,12 +162,12 @@
     connectAndAccept();
     const std::string output(std::size_t{32} * 1024 * 1024, 'x');  // more than the socket buffers can hold
     connection->send(output);
-    EXPECT_FALSE(connection->allWritten());
+    EXPECT_FALSE(connection->isFlushed());
     std::size_t receivedBytes = 0;
     while (receivedBytes < output.size()) receivedBytes += receive(peer).size();
     runUntil([&] { return !connection->calls.empty(); });
     EXPECT_EQ(connection->calls, (Calls{"send drained"}));
-    EXPECT_EQ(connection->written(), output.size());
+    EXPECT_EQ(connection->bytesWritten(), output.size());
 }
 
 TEST_F(TcpConnectionTest, StaysReadableAfterShutdownOfSending) {
