--- a/src/settings/settings_json.cpp
+++ b/src/settings/settings_json.cpp
@@ -1,5 +1,9 @@
 #include "settings/settings_json.h"
 
+#include <algorithm>
+#include <array>
+#include <string_view>
+
 namespace gateway {
 namespace {
 
@@ -82,6 +86,52 @@
                                         {{"push", DiscoveryMode::push}, {"ask", DiscoveryMode::poll}});
 }
 
+// A field of Settings, and its key in the JSON settings.
+struct FieldKey {
+    std::string_view field;
+    std::string_view key;
+};
+
+// The fields that validate() reports, as far as they differ from their keys.
+constexpr std::array kFieldKeys{
+    FieldKey{"gatewayCount", "balancers"},
+    FieldKey{"gatewayIndex", "me"},
+    FieldKey{"maxAttempts", "allowed.maxAttempts"},
+    FieldKey{"maxRequestCost", "domain.maxUnits"},
+    FieldKey{"counterTimeout", "domain.counterTimeoutS"},
+    FieldKey{"drainGracePeriod", "rules.drainGraceS"},
+    FieldKey{"slowStartInitialShare", "rules.coldFrom"},
+    FieldKey{"slowStartDuration", "rules.warmWithinS"},
+    FieldKey{"overloadMultiple", "rules.fallMultiple"},
+    FieldKey{"overloadWindow", "rules.tipAfterS"},
+    FieldKey{"latencyObjective", "aimS"},
+    FieldKey{"latencyObjectiveStretch", "aimStretch"},
+    FieldKey{"deadline", "deadlineS"},
+    FieldKey{"idempotencyWindow", "windowS"},
+    FieldKey{"plans", "contracts"},
+    FieldKey{"rate", "perSecond"},
+    FieldKey{"burst", "depth"},
+    FieldKey{"ceilingRate", "neverOverRate"},
+    FieldKey{"ceilingBurst", "neverOverDepth"},
+    FieldKey{"ceilingSlack", "tolerance"},
+};
+
+// Returns the path of a field's key in the settings, for example "contracts[0].perSecond" for
+// "plans[0].rate".
+std::string toKeyPath(const std::string& field) {
+    std::string path;
+    for (std::size_t begin = 0; begin < field.size();) {
+        const std::size_t end = std::min(field.find_first_of(".[]", begin), field.size());
+        const std::string_view name = std::string_view(field).substr(begin, end - begin);
+        const auto found = std::find_if(kFieldKeys.begin(), kFieldKeys.end(),
+                                        [&](const FieldKey& entry) { return entry.field == name; });
+        path += found == kFieldKeys.end() ? name : found->key;
+        if (end < field.size()) path += field[end];
+        begin = end + 1;
+    }
+    return path;
+}
+
 }  // namespace
 
 Settings readSettings(const Fields& fields) {
@@ -101,7 +151,8 @@
     readRules(fields.object("rules"), settings);
     if (fields.has("penalties"))
         settings.crossZonePenalty = fields.object("penalties").number("crossZone", 0);
-    if (const auto problem = validate(settings)) fields.throwError(problem->field, problem->reason);
+    if (const auto problem = validate(settings))
+        fields.throwError(toKeyPath(problem->field), problem->reason);
     return settings;
 }
 
