--- a/src/net/discovery/discovery_client.h
+++ b/src/net/discovery/discovery_client.h
@@ -43,8 +43,8 @@
     // Closes all connections. The UpdateHandler is not called after this.
     void stop();
 
-    // Closes all connections and calls discovery at another address. Requests a snapshot there, because its
-    // versions are not comparable.
+    // Closes all connections and calls discovery at another address. Requests a snapshot there, because
+    // the versions of two discovery services are not comparable.
     void changeAddress(const tcp::endpoint& address);
 
 private:
