--- a/src/decision/quota/window_slice.h
+++ b/src/decision/quota/window_slice.h
@@ -37,7 +37,7 @@
     // carriedUnconfirmed() and, if request() was admitted before the reply, its cost.
     double unconfirmed() const { return unconfirmed_; }
     // All cost posted under the slice's name by this gateway, up to and including this call.
-    double postedUpToHere() const { return postedUpToHere_; }
+    double cumulativePosted() const { return cumulativePosted_; }
 
 private:
     friend class WindowSlice;
@@ -49,10 +49,10 @@
     Admission admission_ = Admission::pending;
     double carriedCharge_ = 0;     // pending charge that this call posts
     double carriedRefund_ = 0;     // pending refunds that this call posts
-    double refundedUpToHere_ = 0;  // all refunds posted under the slice's name, up to and including this call
+    double cumulativeRefund_ = 0;  // all refunds posted under the slice's name, up to and including this call
     double carriedUnconfirmed_ = 0;
     double unconfirmed_ = 0;
-    double postedUpToHere_ = 0;
+    double cumulativePosted_ = 0;
 };
 
 // A slice's total as a counter reply reports it.
@@ -79,11 +79,11 @@
 //
 // Cost is pending, in flight or on the counter. posted() + pendingCharge() - pendingRefund() changes only by
 // the charge of a request, a refund, a reconciliation, carried debt or the sampling of a pending charge. A
-// call that begins, a call that is withdrawn and a reported loss only move cost between the three terms.
+// call that begins, a call that is rolled back and a reported loss only move cost between the three terms.
 //
 // refunds() == pendingRefund() + postedRefund().
 //
-// Calls end in the order in which they began. The newest call in flight has postedUpToHere() == posted().
+// Calls end in the order in which they began. The newest call in flight has cumulativePosted() == posted().
 class WindowSlice {
 public:
     // `debt`: the known debt of the preceding slice.
@@ -106,7 +106,7 @@
     // Estimated cost that the other gateways admitted and total() does not include yet.
     double remoteSinceTotal() const { return remoteSinceTotal_; }
     // All cost that this gateway admitted.
-    double ownAdmitted() const { return ownAdmitted_; }
+    double localAdmitted() const { return localAdmitted_; }
     // Capacity beyond the burst that has expired unused.
     double expiredBurst() const { return expiredBurst_; }
 
@@ -128,7 +128,7 @@
     double postedRefund() const { return postedRefund_; }
     // All cost in flight or on the counter, less the posted refunds.
     double posted() const { return posted_; }
-    bool hasPending() const { return pendingCharge_ != 0 || pendingRefund_ != 0; }
+    bool hasPendingAmounts() const { return pendingCharge_ != 0 || pendingRefund_ != 0; }
     // Whether any call has posted the charge of a request to this slice.
     bool hasChargeCalls() const { return hasChargeCalls_; }
     bool hasCallInFlight() const { return !calls_.empty(); }
@@ -145,7 +145,7 @@
     // Reverses an ended call that the counter did not count: the amounts that it carried become pending
     // again. The charge of its request becomes pending if the request was admitted, and is no longer refunded
     // if the request was rejected.
-    void withdraw(const CounterCall& call);
+    void rollBack(const CounterCall& call);
 
     // Applies the total that the counter reported in reply to the ended `call`. Lost cost becomes pending
     // again.
@@ -194,7 +194,7 @@
     double admittedSinceTotal_ = 0;
     double remoteSinceTotal_ = 0;
     TimePoint totalReportedAt_{};
-    double ownAdmitted_ = 0;
+    double localAdmitted_ = 0;
     double expiredBurst_ = 0;
     bool hasTotal_ = false;
     bool hasCarriedDebt_ = false;
--- a/src/simulator/wire_reader.cpp
+++ b/src/simulator/wire_reader.cpp
@@ -32,7 +32,7 @@
                                            {"skipped", Outcome::notSent}});
 }
 
-std::optional<LoadReport> readReport(const Fields& fields) {
+std::optional<LoadReport> readLoadReport(const Fields& fields) {
     if (!fields.has("telemetry")) return std::nullopt;
     const Fields telemetry = fields.object("telemetry");
     LoadReport report;
@@ -87,10 +87,10 @@
     ended.elapsed = fields.seconds("waitTimeS", 0);
     ended.requestClosed = fields.flag("last");
     if (const double billed = fields.number("billed", 0); billed > 0) ended.actualCost = billed;
-    // The wire has the meter's percentage plus 1; 0 means that there is none.
+    // The field "metered" holds the percentage plus 1; 0 means that none was reported.
     if (const double metered = fields.number("metered", 0); metered > 0)
         ended.quotaUsagePercent = metered - 1;
-    ended.loadReport = readReport(fields);
+    ended.loadReport = readLoadReport(fields);
     return ended;
 }
 
@@ -108,17 +108,17 @@
     const std::string& digits = fields.text("ref");
     const bool isNumber = !digits.empty() && digits.size() <= kMaxTimerDigits &&
                           digits.find_first_not_of("0123456789") == std::string::npos;
-    if (!isNumber) fields.throwError("ref", "is no timer of ours: '" + digits + "'");
+    if (!isNumber) fields.throwError("ref", "must be the ref of a sleep message; found '" + digits + "'");
     return {TimerId{std::stoull(digits)}};
 }
 
-void checkHealthCheck(const Fields& fields) {
+void validateHealthCheckResult(const Fields& fields) {
     readEndpointId(fields);
     readOutcome(fields);
-    readReport(fields);
+    readLoadReport(fields);
 }
 
-void checkPeerMessage(const Fields& fields) {
+void validatePeerMessage(const Fields& fields) {
     fields.integer("author", 0);
     checkHex(fields, "octets");
 }
@@ -133,11 +133,11 @@
     if (name == "lapsed") return ClientDisconnected{readRequestId(fields)};
     if (name == "added") return readCounterReply(fields);
     if (name == "bell") return readTimer(fields);
-    // Gateways use neither health checks nor messages of peers.
+    // Gateways ignore the results of health checks and the messages of peers, but these must be well-formed.
     if (name == "pingResult")
-        checkHealthCheck(fields);
+        validateHealthCheckResult(fields);
     else if (name == "memo")
-        checkPeerMessage(fields);
+        validatePeerMessage(fields);
     else
         fields.throwError("", "unknown message");
     return std::nullopt;
--- a/src/simulator/wire_server.cpp
+++ b/src/simulator/wire_server.cpp
@@ -33,7 +33,9 @@
             throw SimulatorInputError(place + "JSON", e.what());
         }
     }
-    if (server.isInBatch()) throw SimulatorInputError("end of input", "the input ended inside a batch");
+    if (server.isInBatch())
+        throw SimulatorInputError("end of input",
+                                  "the last batch has not ended: an eofBatch message is missing");
 }
 
 }  // namespace gateway::simulator
