--- a/tests/simulator/stream_server_test.cpp
+++ b/tests/simulator/stream_server_test.cpp
@@ -134,7 +134,7 @@
                   "line 2: tick: the previous batch has not ended"},
         ErrorCase{"TwoNamesInAMessage", makeBatch("{\"bell\":{},\"knock\":{}}\n"),
                   "line 2: message: must be a JSON object with one key"},
-        ErrorCase{"InvalidSettings", makeBatch(enlistWithNegativeRate()), "plans[0].rate"}),
+        ErrorCase{"InvalidSettings", makeBatch(enlistWithNegativeRate()), "contracts[0].perSecond"}),
     [](const auto& testCase) { return testCase.param.name; });
 
 // ---- Messages that gateways ignore ----------------------------------------------------------------
