--- a/src/decision/engine/endpoint_watch.h
+++ b/src/decision/engine/endpoint_watch.h
@@ -1,4 +1,5 @@
-// Applies the updates of discovery to the endpoint set, and opens the watch if discovery is polled.
+// Applies the updates of discovery to the endpoint set, and opens the watch on discovery: with
+// DiscoveryMode::poll after the first successful update, and in both modes some time after a failed one.
 #pragma once
 
 #include "decision/engine/event_context.h"
--- a/src/decision/engine/request.h
+++ b/src/decision/engine/request.h
@@ -38,10 +38,14 @@
     QuotaCharge charge;
     std::vector<Attempt> attempts;
     std::optional<PossibleExecution> possibleExecution;
-    bool decided = false;          // the quota admitted or rejected it, or its client disconnected first
-    bool closed = false;           // it has its final answer, or its client disconnected
-    bool streaming = false;        // its response has begun
-    bool reachedEndpoint = false;  // with a ceiling, also if an attempt failed to connect
+    // The quota admitted or rejected it, the gateway answered it without a decision, or its client
+    // disconnected. Forwarding a request does not set this if the settings have no quota plans.
+    bool decided = false;
+    bool closed = false;     // it has its final answer, or its client disconnected
+    bool streaming = false;  // its response has begun
+    // The outcome of an attempt was not notSent. Under a plan without a ceiling, it was not connectFailed
+    // either.
+    bool reachedEndpoint = false;
 
     bool hasAttemptInFlight() const;
 };
--- a/src/decision/engine/request_lifecycle.cpp
+++ b/src/decision/engine/request_lifecycle.cpp
@@ -11,7 +11,8 @@
 // Longest wait for the counter, as a share of the latency objective.
 constexpr double kMaxCounterWaitShare = 0.1;
 
-// Time until the client's deadline that an attempt needs, as a share of the expected response time.
+// A request is answered without an attempt if the time until its deadline is less than this share of the
+// expected response time.
 constexpr double kMinRemainingTimeShare = 0.3;
 
 }  // namespace
@@ -134,7 +135,8 @@
     }
 }
 
-// A quota charges a request that reached an endpoint. A ceiling also charges one that failed to connect.
+// A quota charges a request if an attempt at it was sent to an endpoint. Under a plan with a ceiling, an
+// attempt that failed to connect is charged as well.
 void RequestLifecycle::recordEndpointReached(Request& request, Outcome outcome) const {
     const QuotaPlan* plan = planOf(request);
     const bool hasCeiling = plan != nullptr && plan->ceilingRate > 0;
--- a/src/decision/engine/request_lifecycle.h
+++ b/src/decision/engine/request_lifecycle.h
@@ -53,7 +53,8 @@
     // Records that the request's attempts can no longer be cancelled.
     void onStreamStarted(const StreamStarted& started);
 
-    // Cancels the request's attempts, and refunds its charge if its admission was not decided yet.
+    // Closes the request. Cancels its attempts if the settings allow it and no response has begun. Refunds
+    // its charge if its admission was not decided yet.
     void onClientDisconnected(EventContext& context, const ClientDisconnected& disconnected);
 
 private:
@@ -70,6 +71,8 @@
     void answerUnserved(EventContext& context, Request& request, Duration retryAfter);
 
     bool hasTimeToBeServed(const Request& request, TimePoint now) const;
+    // Mean response time of the request's class. A client whose request could not be sent or retried may try
+    // again after this time: attempts in flight should have ended by then and freed capacity.
     Duration expectedResponseTime(const Request& request) const;
     const QuotaPlan* planOf(const Request& request) const;
 
--- a/src/decision/engine/request_table.h
+++ b/src/decision/engine/request_table.h
@@ -12,8 +12,8 @@
 // References to a request stay valid until the request is erased.
 class RequestTable {
 public:
-    // Adds a request under a new key. A request in flight with the same id is from then on found by its key
-    // only.
+    // Adds a request under a new key. If two requests in flight have the same id, find() by that id returns
+    // the newer one until either of them is erased, and null after that.
     Request& add(const RequestArrived& arrival, TimePoint now);
 
     // Return null if no such request is in flight.
--- a/src/decision/upstream/attempt_sample.h
+++ b/src/decision/upstream/attempt_sample.h
@@ -11,8 +11,8 @@
 
 // A finished attempt, measured against its request class.
 struct AttemptSample {
-    double seconds = 0;           // elapsed time of the attempt
-    double objectiveShare = 0;    // elapsed time divided by the class's latency objective
+    double seconds = 0;         // elapsed time of the attempt
+    double objectiveShare = 0;  // elapsed time divided by RequestClass::latencyObjective, without the stretch
     double classMeanSeconds = 0;  // mean of the class, including this sample; 0: no sample yet
     bool served = false;          // a complete response that was not streamed
     bool timedOut = false;
--- a/src/decision/upstream/concurrency_limiter.h
+++ b/src/decision/upstream/concurrency_limiter.h
@@ -13,8 +13,8 @@
 
 // Sheds load before the endpoints' queues grow so long that no request meets its latency objective, whether
 // the cause is too many requests, a loss of endpoints or slow machines. The limit is stable while
-// kTargetSlowShare of the responses are slow. Costly requests lower it as well, which reduces throughput only
-// while the limit is reached.
+// kTargetSlowShare of the responses are slow. Requests that are slow because they need much work lower it as
+// well, which reduces throughput only while the limit is reached.
 //
 // Invariants: the number of attempts in flight is never negative; once initialized, the limit stays above 0.
 class ConcurrencyLimiter {
--- a/src/decision/upstream/endpoint.h
+++ b/src/decision/upstream/endpoint.h
@@ -57,8 +57,8 @@
     const SlowStartTokens& slowStartTokens() const { return slowStartTokens_; }
     SlowStartTokens& slowStartTokens() { return slowStartTokens_; }
 
-    // The share of the endpoints on this endpoint's subsetting ring that this gateway's subset contains; 0 if
-    // the subset does not contain this endpoint.
+    // The share of this endpoint's ring (see EndpointSubset) that is in this gateway's subset; 0 if this
+    // endpoint is not in the subset. Always 1 in a small fleet.
     double subsetShare() const { return subsetShare_; }
     bool isInSubset() const { return subsetShare_ > 0; }
     void setSubsetShare(double share) { subsetShare_ = share; }
--- a/src/decision/upstream/endpoint_concurrency_limit.h
+++ b/src/decision/upstream/endpoint_concurrency_limit.h
@@ -24,7 +24,8 @@
     void endAttempt() { --inFlight_; }
 
     // Adapts the limit to the outcome of an attempt. A sign of overload lowers the limit, at most once per
-    // mean response time. Any other response raises it while the limit is nearly reached.
+    // mean response time. A complete, unstreamed response without such a sign raises it while the limit is
+    // nearly reached.
     void observe(const AttemptSample& sample, TimePoint now);
 
     // Resets the limit to `maxInFlight`. Attempts in flight remain counted until they end.
--- a/src/decision/upstream/endpoint_picker.cpp
+++ b/src/decision/upstream/endpoint_picker.cpp
@@ -70,8 +70,8 @@
     return OutlierDetector::isEjectionAllowed(ejected, usable);
 }
 
-// Whether the request may be sent to the endpoint without the risk that it is executed twice. A request that
-// may have been executed and is not safe to retry needs an endpoint that recognizes its key.
+// Whether the request may be sent to the endpoint without the risk that a second execution has an effect. A
+// request that may have been executed and is not safe to retry needs an endpoint that recognizes its key.
 bool EndpointPicker::canDeduplicate(const Endpoint& endpoint, const Request& request) const {
     const RequestClass& terms = termsOf(request);
     if (!request.possibleExecution || terms.idempotency == Idempotency::safe) return true;
@@ -102,7 +102,7 @@
 
 // Returns the attempts of all gateways that the endpoint would have in flight, the next one included.
 double EndpointPicker::expectedInFlight(const Endpoint& endpoint, double freshness) const {
-    // Without load reports, every gateway is assumed to have as many in flight as this one.
+    // Without load reports in responses, every gateway is assumed to have as many in flight as this one.
     if (settings_.loadReportSource != LoadReportSource::inResponses)
         return 1 + endpoint.inFlight() * static_cast<double>(settings_.gatewayCount);
     const double mean = stats_.meanRemoteInFlight();
--- a/src/decision/upstream/endpoint_set.cpp
+++ b/src/decision/upstream/endpoint_set.cpp
@@ -59,7 +59,7 @@
     for (Endpoint& endpoint : endpoints_) {
         if (!endpoint.isUsable()) continue;
         const double capacityShare = slowStart_.capacityShare(endpoint.entry(), now);
-        // Tokens for the time until now accrue by the previous capacity and subset.
+        // Tokens for the time until now accrue by the previous total capacity and subset.
         slowStart_.accrueTokens(endpoint, capacityShare, capacity_);
         capacity.add(endpoint.entry().weight, capacityShare);
         std::vector<Endpoint*>& ring = capacityShare < 1 ? warmingUp : warm;
--- a/src/decision/upstream/fleet_capacity.h
+++ b/src/decision/upstream/fleet_capacity.h
@@ -6,8 +6,8 @@
 // Sums of the endpoints' weights. Invariant: the effective weight lies between 0 and the full weight.
 class FleetCapacity {
 public:
-    // Adds an endpoint. `capacityShare`: the share of its full capacity that it has now, above 0 and at most
-    // 1; below 1 while it is warming up.
+    // Adds an endpoint. `capacityShare`: the share of its full capacity that it has now, from 0 to 1; below 1
+    // while it is warming up.
     void add(double weight, double capacityShare) {
         fullWeight_ += weight;
         effectiveWeight_ += weight * capacityShare;
--- a/src/decision/upstream/latency_stats.h
+++ b/src/decision/upstream/latency_stats.h
@@ -22,7 +22,9 @@
     // Mean response time of the class; an estimate before the first response. Always above 0.
     double expectedSeconds(RequestClassIndex requestClass) const;
 
-    // Mean work of a request of this class, in requests of mean work. 1 before its first response.
+    // Estimate of the work of a request of this class: its mean response time divided by the mean response
+    // time of all requests. Wherever work is "in requests of mean work", its unit is that of an average
+    // request. 1 before the first response of the class.
     double relativeWork(RequestClassIndex requestClass) const;
 
     // Time after a request's arrival within which its response earns the full weight.
--- a/src/decision/upstream/outlier_detector.h
+++ b/src/decision/upstream/outlier_detector.h
@@ -1,5 +1,7 @@
-// Outlier detection for one endpoint. Ejects the endpoint for a time after repeated failures. The endpoint is
-// on probation after that: it receives one attempt at a time until one succeeds.
+// Outlier detection for one endpoint. Ejects the endpoint for a time after a failed connection, at a high
+// error rate, or after a failure on probation. Probation begins with the ejection and ends when an attempt
+// succeeds. Between the end of the ejection and that of the probation, the endpoint receives one attempt at a
+// time.
 #pragma once
 
 #include "gateway/events.h"
@@ -14,16 +16,18 @@
     // send.
     void observe(Outcome outcome, TimePoint now);
 
-    // Whether the endpoint must not receive another attempt now. `inFlight`: attempts of this gateway in
+    // Whether the endpoint must not receive another attempt now: until the end of the ejection, and then,
+    // while it is on probation, as long as an attempt is in flight. `inFlight`: attempts of this gateway in
     // flight at the endpoint.
     bool isEjected(int inFlight, TimePoint now) const {
         return now < ejectedUntil_ || (onProbation_ && inFlight > 0);
     }
 
-    // Whether the endpoint was ejected and has not served an attempt since.
+    // Whether the endpoint was ejected and no attempt has succeeded since. Also true during the ejection.
     bool isOnProbation() const { return onProbation_; }
 
-    // Moving average of the share of failed attempts, from 0 to 1.
+    // Moving average from 0 to 1, in which a success counts as 0, and an error, reset or rejection as 1.
+    // Other outcomes do not count. The end of a probation caps it.
     double errorRate() const { return errorRate_; }
 
     // End of the latest ejection; the epoch if there was none.
--- a/src/decision/upstream/retry_policy.h
+++ b/src/decision/upstream/retry_policy.h
@@ -22,7 +22,7 @@
     // be retried. Otherwise returns false and changes nothing.
     bool tryAcquireRetry(const Request& request, TimePoint now);
 
-    // Whether the client may send the request again without the risk that it is executed twice.
+    // Whether the client may send the request again without the risk that a second execution has an effect.
     bool isClientRetrySafe(const Request& request, TimePoint now) const;
 
     // Time from `now` within which the next attempt must be sent, so that endpoints still recognize the
--- a/src/decision/upstream/slow_start.cpp
+++ b/src/decision/upstream/slow_start.cpp
@@ -7,12 +7,13 @@
 namespace gateway {
 namespace {
 
-constexpr double kSlowShareSmoothing = 0.05;  // weight of a new response
+constexpr double kSlowShareSmoothing = 0.05;  // weight of a new attempt
 constexpr double kUsedOverloadShare = 0.9;    // share of the overload multiple that the budgets may use
 constexpr double kLowTrafficReserve = 1.25;   // divides the budgets under low local traffic
 constexpr double kUnservedCreditShare = 0.5;  // share of unserved work that is credited as served
-constexpr int kUnservedWindowDivisor = 8;     // overload window / min time without a served request
-constexpr double kMinFleetCapacity = 1e-9;    // guards against division by zero
+// Unserved work is credited only after overloadWindow / kUnservedWindowDivisor without a served request.
+constexpr int kUnservedWindowDivisor = 8;
+constexpr double kMinFleetCapacity = 1e-9;  // guards against division by zero
 
 }  // namespace
 
@@ -55,8 +56,9 @@
 }
 
 // With a multiplier of 1, an endpoint is utilized as much as the warm endpoints; further attempts would queue
-// there while warm endpoints have capacity left. The multiplier rises towards the overload multiple while
-// warm endpoints respond slowly and endpoints that are warming up do not, or if no endpoint is warm.
+// there while warm endpoints have capacity left. The multiplier rises towards the overload multiple while a
+// larger share of the attempts at warm endpoints than of those at endpoints that are warming up indicates
+// overload, or if no endpoint is warm.
 double SlowStart::budgetMultiplier(const FleetCapacity& fleet) const {
     const double excessSlowShare = (slowShareOfWarm_ - slowShareOfWarmingUp_) / kTargetSlowShare;
     const double pressure = fleet.hasWarmEndpoint() ? std::clamp(excessSlowShare, 0.0, 1.0) : 1;
--- a/src/decision/upstream/slow_start.h
+++ b/src/decision/upstream/slow_start.h
@@ -19,7 +19,7 @@
 namespace gateway {
 
 // Computes the budgets, which the endpoints store as SlowStartTokens. Invariants: the served work never
-// decreases; the shares of slow responses lie between 0 and 1.
+// decreases; the shares of attempts that indicate overload lie between 0 and 1.
 class SlowStart {
 public:
     // Both arguments must outlive the object.
@@ -46,7 +46,8 @@
     // accrueTokens() was called for the present time.
     static bool mayReceiveAttempt(const Endpoint& endpoint, double capacityShare);
 
-    // Updates the share of slow responses with an attempt at the endpoint that ended.
+    // Updates the share of attempts that indicate overload with an attempt at the endpoint that ended.
+    // Ignores an attempt that neither indicates overload nor has a complete, unstreamed response.
     void observe(const Endpoint& endpoint, const AttemptSample& sample, TimePoint now);
 
     // Records that the endpoint served a request. `work`: in requests of mean work.
@@ -71,8 +72,8 @@
     const Settings& settings_;
     const EndpointStats& stats_;
     double servedWork_ = 0;            // by usable endpoints, in requests of mean work
-    double slowShareOfWarm_ = 0;       // share of slow responses among those of warm endpoints
-    double slowShareOfWarmingUp_ = 0;  // and among those of endpoints warming up
+    double slowShareOfWarm_ = 0;       // share of attempts at warm endpoints that indicate overload
+    double slowShareOfWarmingUp_ = 0;  // and of those at endpoints that are warming up
     TimePoint servedAt_{};             // time of the latest served request
 };
 
--- a/src/decision/upstream/slow_start_tokens.h
+++ b/src/decision/upstream/slow_start_tokens.h
@@ -4,8 +4,8 @@
 namespace gateway {
 
 // A token pays for one attempt of mean work. Invariants: accrual never raises the balance above its maximum;
-// the same served work is never credited twice. The balance may become negative, since an attempt may cost
-// more than one token.
+// the same served work is never credited twice. The balance may become negative without a bound, since an
+// attempt may cost more than one token, and attempts at a warm endpoint are charged without being limited.
 class SlowStartTokens {
 public:
     // Starts the budget with `tokens`. `servedWork`, here and below: the total work served since the gateway
