--- a/src/decision/engine/attempt_dispatcher.cpp
+++ b/src/decision/engine/attempt_dispatcher.cpp
@@ -6,14 +6,14 @@
 
 AttemptDispatcher::AttemptDispatcher(LatencyStats& latency, EndpointStats& stats, SlowStart& slowStart,
                                      ConcurrencyLimiter& limiter, EndpointSet& endpoints,
-                                     EndpointPicker& picker, RetryPolicy& retries)
+                                     EndpointPicker& picker, RetryPolicy& retryPolicy)
     : latency_(latency),
       stats_(stats),
       slowStart_(slowStart),
       limiter_(limiter),
       endpoints_(endpoints),
       picker_(picker),
-      retries_(retries) {}
+      retryPolicy_(retryPolicy) {}
 
 bool AttemptDispatcher::trySend(EventContext& context, Request& request) {
     const Duration timeout = latency_.timeLeft(request, context.now);
@@ -24,11 +24,11 @@
     if (!slot) return false;
 
     Endpoint& endpoint = endpoints_.at(*slot);
-    if (request.attempts.empty()) retries_.recordFirstAttempt();
+    if (request.attempts.empty()) retryPolicy_.recordFirstAttempt();
     request.attempts.push_back({*slot, context.now, false});
     limiter_.beginAttempt();
     endpoint.beginAttempt(work);
-    const Duration maxSendDelay = retries_.maxSendDelay(request, context.now);
+    const Duration maxSendDelay = retryPolicy_.maxSendDelay(request, context.now);
     context.emit(SendAttempt{request.arrival.request, endpoint.entry().id, timeout, maxSendDelay});
     return true;
 }
--- a/src/decision/engine/attempt_dispatcher.h
+++ b/src/decision/engine/attempt_dispatcher.h
@@ -18,7 +18,7 @@
     // All arguments must outlive the dispatcher.
     AttemptDispatcher(LatencyStats& latency, EndpointStats& stats, SlowStart& slowStart,
                       ConcurrencyLimiter& limiter, EndpointSet& endpoints, EndpointPicker& picker,
-                      RetryPolicy& retries);
+                      RetryPolicy& retryPolicy);
 
     // Sends the next attempt of the request and returns true. Returns false and leaves the request unchanged
     // if its time is up, the concurrency limit is reached or no endpoint may receive the attempt.
@@ -37,7 +37,7 @@
     ConcurrencyLimiter& limiter_;
     EndpointSet& endpoints_;
     EndpointPicker& picker_;
-    RetryPolicy& retries_;
+    RetryPolicy& retryPolicy_;
 };
 
 }  // namespace gateway
--- a/src/decision/engine/decision_engine.cpp
+++ b/src/decision/engine/decision_engine.cpp
@@ -72,9 +72,9 @@
     ConcurrencyLimiter limiter_;
     EndpointSet endpoints_;
     EndpointPicker picker_;
-    RetryPolicy retries_;
+    RetryPolicy retryPolicy_;
 
-    AttemptDispatcher attempts_;
+    AttemptDispatcher dispatcher_;
     EndpointWatch endpointWatch_;
     RequestLifecycle lifecycle_;
 };
@@ -93,10 +93,11 @@
       limiter_(settings_),
       endpoints_(settings_, slowStart_, limiter_),
       picker_(settings_, endpoints_, endpointStats_, slowStart_),
-      retries_(settings_, latency_),
-      attempts_(latency_, endpointStats_, slowStart_, limiter_, endpoints_, picker_, retries_),
+      retryPolicy_(settings_, latency_),
+      dispatcher_(latency_, endpointStats_, slowStart_, limiter_, endpoints_, picker_, retryPolicy_),
       endpointWatch_(settings_, endpoints_, limiter_),
-      lifecycle_(settings_, requests_, {tenants_, ledger_, admission_}, {latency_, retries_, attempts_}) {}
+      lifecycle_(settings_, requests_, {tenants_, ledger_, admission_},
+                 {latency_, retryPolicy_, dispatcher_}) {}
 
 void DecisionEngine::Impl::handle(TimePoint now, const Event& event, Actions& actions) {
     if (!startedAt_) {
--- a/src/decision/engine/endpoint_watch.cpp
+++ b/src/decision/engine/endpoint_watch.cpp
@@ -20,7 +20,7 @@
         scheduleRetry(context);
         return;
     }
-    if (settings_.discovery == DiscoveryMode::poll) startOnce(context);
+    if (settings_.discovery == DiscoveryMode::poll) openWatchOnce(context);
     endpoints_.apply(update, context.now);
     limiter_.initializeLimit(endpoints_.endpointCount());
 }
@@ -34,9 +34,9 @@
     context.setTimer(DiscoveryRetryDue{}, std::max(delay, kMinRetryDelay));
 }
 
-void EndpointWatch::startOnce(EventContext& context) {
-    if (started_) return;
-    started_ = true;
+void EndpointWatch::openWatchOnce(EventContext& context) {
+    if (watchOpened_) return;
+    watchOpened_ = true;
     context.emit(WatchEndpoints{});
 }
 
--- a/src/decision/engine/endpoint_watch.h
+++ b/src/decision/engine/endpoint_watch.h
@@ -22,12 +22,12 @@
 
 private:
     void scheduleRetry(EventContext& context) const;
-    void startOnce(EventContext& context);
+    void openWatchOnce(EventContext& context);
 
     const Settings& settings_;
     EndpointSet& endpoints_;
     ConcurrencyLimiter& limiter_;
-    bool started_ = false;
+    bool watchOpened_ = false;  // by openWatchOnce()
 };
 
 }  // namespace gateway
--- a/src/decision/engine/request.h
+++ b/src/decision/engine/request.h
@@ -43,9 +43,9 @@
     bool decided = false;
     bool closed = false;     // it has its final answer, or its client disconnected
     bool streaming = false;  // its response has begun
-    // The outcome of an attempt was not notSent. Under a plan without a ceiling, it was not connectFailed
-    // either.
-    bool reachedEndpoint = false;
+    // An attempt was sent, so that the charge is not refunded. An attempt that failed to connect counts only
+    // under a plan with a ceiling.
+    bool countsAsSent = false;
 
     bool hasAttemptInFlight() const;
 };
--- a/src/decision/engine/request_lifecycle.cpp
+++ b/src/decision/engine/request_lifecycle.cpp
@@ -25,8 +25,8 @@
       ledger_(quota.ledger),
       admission_(quota.admission),
       latency_(upstream.latency),
-      retries_(upstream.retries),
-      attempts_(upstream.attempts) {}
+      retryPolicy_(upstream.retryPolicy),
+      dispatcher_(upstream.dispatcher) {}
 
 // ---- Admission ------------------------------------------------------------------------------------
 
@@ -96,12 +96,12 @@
 // ---- Attempts -------------------------------------------------------------------------------------
 
 void RequestLifecycle::forward(EventContext& context, Request& request) {
-    if (attempts_.trySend(context, request)) {
+    if (dispatcher_.trySend(context, request)) {
         Tenant* tenant = tenants_.find(request.arrival.tenant);
         if (tenant != nullptr) ++tenant->inFlight;
         return;
     }
-    if (!request.reachedEndpoint) ledger_.refundUnsent(context, request);
+    if (!request.countsAsSent) ledger_.refundUnsent(context, request);
     answerUnserved(context, request, expectedResponseTime(request));
 }
 
@@ -118,16 +118,16 @@
 
     Tenant* tenant = tenants_.find(request->arrival.tenant);
     if (tenant != nullptr) --tenant->inFlight;
-    attempts_.recordEnd(*request, ended, context.now);
-    recordEndpointReached(*request, ended.outcome);
+    dispatcher_.recordEnd(*request, ended, context.now);
+    recordWhetherSent(*request, ended.outcome);
     recordReportedUsage(context, *request, ended, tenant);
     if (ended.requestClosed) request->closed = true;
 
-    if (!request->closed && retries_.tryAcquireRetry(*request, context.now)) {
+    if (!request->closed && retryPolicy_.tryAcquireRetry(*request, context.now)) {
         forward(context, *request);
         return;
     }
-    if (!request->reachedEndpoint && !request->hasAttemptInFlight()) ledger_.refundUnsent(context, *request);
+    if (!request->countsAsSent && !request->hasAttemptInFlight()) ledger_.refundUnsent(context, *request);
     if (request->closed) {
         requests_.eraseIfDone(*request);
     } else {
@@ -135,13 +135,13 @@
     }
 }
 
-// A quota charges a request if an attempt at it was sent to an endpoint. Under a plan with a ceiling, an
-// attempt that failed to connect is charged as well.
-void RequestLifecycle::recordEndpointReached(Request& request, Outcome outcome) const {
+// A quota charges a request if an attempt was sent. Under a plan with a ceiling, an attempt that failed to
+// connect counts as sent as well.
+void RequestLifecycle::recordWhetherSent(Request& request, Outcome outcome) const {
     const QuotaPlan* plan = planOf(request);
     const bool hasCeiling = plan != nullptr && plan->ceilingRate > 0;
-    const bool neverConnected = outcome == Outcome::connectFailed && !hasCeiling;
-    if (outcome != Outcome::notSent && !neverConnected) request.reachedEndpoint = true;
+    const bool isUnchargedConnectFailure = outcome == Outcome::connectFailed && !hasCeiling;
+    if (outcome != Outcome::notSent && !isUnchargedConnectFailure) request.countsAsSent = true;
 }
 
 void RequestLifecycle::recordReportedUsage(EventContext& context, Request& request, const AttemptEnded& ended,
@@ -155,7 +155,7 @@
 // ---- Final answers and disconnects ----------------------------------------------------------------
 
 void RequestLifecycle::answerUnserved(EventContext& context, Request& request, Duration retryAfter) {
-    if (retries_.isClientRetrySafe(request, context.now)) {
+    if (retryPolicy_.isClientRetrySafe(request, context.now)) {
         const Duration cappedRetryAfter =
             settings_.retryAfterAllowed ? std::min(retryAfter, settings_.maxRetryAfter) : Duration{};
         context.emit(RejectRequest{request.arrival.request, cappedRetryAfter});
--- a/src/decision/engine/request_lifecycle.h
+++ b/src/decision/engine/request_lifecycle.h
@@ -29,8 +29,8 @@
     // The modules that send a request to endpoints.
     struct Upstream {
         const LatencyStats& latency;
-        RetryPolicy& retries;
-        AttemptDispatcher& attempts;
+        RetryPolicy& retryPolicy;
+        AttemptDispatcher& dispatcher;
     };
 
     // All arguments, and the objects that they refer to, must outlive this object.
@@ -65,7 +65,7 @@
     void forward(EventContext& context, Request& request);
     void cancelAttempts(EventContext& context, const Request& request) const;
     void refundUndecided(EventContext& context, Request& request);
-    void recordEndpointReached(Request& request, Outcome outcome) const;
+    void recordWhetherSent(Request& request, Outcome outcome) const;
     void recordReportedUsage(EventContext& context, Request& request, const AttemptEnded& ended,
                              Tenant* tenant);
     void answerUnserved(EventContext& context, Request& request, Duration retryAfter);
@@ -82,8 +82,8 @@
     CounterLedger& ledger_;
     QuotaAdmission& admission_;
     const LatencyStats& latency_;
-    RetryPolicy& retries_;
-    AttemptDispatcher& attempts_;
+    RetryPolicy& retryPolicy_;
+    AttemptDispatcher& dispatcher_;
 };
 
 }  // namespace gateway
