--- a/src/decision/upstream/concurrency_limiter.cpp
+++ b/src/decision/upstream/concurrency_limiter.cpp
@@ -31,16 +31,16 @@
 ConcurrencyLimiter::ConcurrencyLimiter(const Settings& settings) {
     const double smallFleetShare = static_cast<double>(kMaxSmallFleet) / settings.gatewayCount;
     const double fleetLimit = kInitialFleetLimit * std::min(1.0, smallFleetShare);
-    initialEndpointShare_ = std::max(kMinInitialFleetLimit, fleetLimit) / settings.gatewayCount;
+    initialLimitPerEndpoint_ = std::max(kMinInitialFleetLimit, fleetLimit) / settings.gatewayCount;
 }
 
 void ConcurrencyLimiter::initializeLimit(std::size_t endpointCount) {
     if (maxInFlight_ > 0) return;
-    maxInFlight_ = std::max(kMinInitialLimit, initialEndpointShare_ * static_cast<double>(endpointCount));
+    maxInFlight_ = std::max(kMinInitialLimit, initialLimitPerEndpoint_ * static_cast<double>(endpointCount));
 }
 
 double ConcurrencyLimiter::initialEndpointLimit() const {
-    return std::max(1.0, initialEndpointShare_);
+    return std::max(1.0, initialLimitPerEndpoint_);
 }
 
 // While the median response is fast, timeouts and rejections have causes that shedding load would not remove:
@@ -51,9 +51,9 @@
     const bool isMedianSlow = medianObjectiveShare_ > kSlowMedianObjectiveShare;
     const bool isOverloaded = sample.slow || outcome == Outcome::rejected;
     const bool isLimitUsed = inFlight_ + 1 > kMinRaiseUtilization * maxInFlight_;
-    if (isOverloaded && (sample.served || isMedianSlow))
+    if (isOverloaded && (sample.completedUnstreamed || isMedianSlow))
         maxInFlight_ = std::max(kMinLimit, maxInFlight_ - step);
-    else if (sample.served && isLimitUsed)
+    else if (sample.completedUnstreamed && isLimitUsed)
         maxInFlight_ += step * kTargetSlowShare / (1 - kTargetSlowShare);
 }
 
--- a/src/decision/upstream/concurrency_limiter.h
+++ b/src/decision/upstream/concurrency_limiter.h
@@ -45,7 +45,7 @@
 
     void updateMedian(const AttemptSample& sample);
 
-    double initialEndpointShare_;  // initial limit of this gateway for one endpoint
+    double initialLimitPerEndpoint_;  // of this gateway, in attempts
     int inFlight_ = 0;
     double maxInFlight_ = 0;                                      // 0 until the endpoint list is known
     double medianObjectiveShare_ = kInitialMedianObjectiveShare;  // of AttemptSample::objectiveShare
--- a/src/decision/upstream/endpoint_concurrency_limit.cpp
+++ b/src/decision/upstream/endpoint_concurrency_limit.cpp
@@ -13,11 +13,11 @@
 }  // namespace
 
 void EndpointConcurrencyLimit::observe(const AttemptSample& sample, TimePoint now) {
-    if (sample.overloaded) {
+    if (sample.indicatesOverload) {
         if (now - loweredAt_ <= fromSeconds(sample.classMeanSeconds)) return;
         maxInFlight_ = std::max(kMinLimit, maxInFlight_ * kOverloadMultiplier);
         loweredAt_ = now;
-    } else if (sample.served && isNearlyUsedUp()) {
+    } else if (sample.completedUnstreamed && isNearlyUsedUp()) {
         maxInFlight_ += 1 / maxInFlight_;
     }
 }
--- a/src/decision/upstream/endpoint_picker.cpp
+++ b/src/decision/upstream/endpoint_picker.cpp
@@ -11,9 +11,9 @@
 namespace gateway {
 namespace {
 
-constexpr double kCrossZoneCostMultiplier = 1.1;
-constexpr double kProbationCostMultiplier = 4;   // for requests that are not safe to retry
-constexpr double kRepeatedCostMultiplier = 100;  // for each earlier attempt of the request at the endpoint
+constexpr double kCrossZoneScoreMultiplier = 1.1;
+constexpr double kProbationScoreMultiplier = 4;   // for requests that are not safe to retry
+constexpr double kRepeatedScoreMultiplier = 100;  // for each earlier attempt of the request at the endpoint
 constexpr double kErrorRateWeight = 3;
 constexpr double kJitterShare = 0.1;  // keeps gateways with equal statistics from choosing the same endpoint
 constexpr double kMinSlowness = 0.2;
@@ -36,19 +36,19 @@
                                                       TimePoint now, RandomSource& random) {
     const std::span<Endpoint> slots = endpoints_.slots();
     std::optional<std::size_t> best;
-    double lowestCost = std::numeric_limits<double>::infinity();
+    double lowestScore = std::numeric_limits<double>::infinity();
     for (std::size_t slot = 0; slot < slots.size(); ++slot) {
         Endpoint& endpoint = slots[slot];
         if (!isCandidate(endpoint, pass, avoidsEjected, now)) continue;
         const double capacityShare = slowStart_.capacityShare(endpoint.entry(), now);
         slowStart_.accrueTokens(endpoint, capacityShare, endpoints_.capacity());
         if (!SlowStart::mayReceiveAttempt(endpoint, capacityShare)) continue;
-        if (!canDeduplicate(endpoint, request)) continue;
-        double cost = baseCost(endpoint, capacityShare, now, random);
-        cost = addPenalties(cost, slot, endpoint, request);
-        if (cost >= lowestCost) continue;
+        if (!mayRepeatAt(endpoint, request)) continue;
+        double score = baseScore(endpoint, capacityShare, now, random);
+        score = applyPenaltyMultipliers(score, slot, endpoint, request);
+        if (score >= lowestScore) continue;
         best = slot;
-        lowestCost = cost;
+        lowestScore = score;
     }
     return best;
 }
@@ -72,8 +72,8 @@
 
 // Whether the request may be sent to the endpoint without the risk that a second execution has an effect. A
 // request that may have been executed and is not safe to retry needs an endpoint that recognizes its key.
-bool EndpointPicker::canDeduplicate(const Endpoint& endpoint, const Request& request) const {
-    const RequestClass& terms = termsOf(request);
+bool EndpointPicker::mayRepeatAt(const Endpoint& endpoint, const Request& request) const {
+    const RequestClass& terms = classOf(request);
     if (!request.possibleExecution || terms.idempotency == Idempotency::safe) return true;
     switch (terms.deduplicationScope) {
         case DeduplicationScope::all:
@@ -86,17 +86,17 @@
     return false;
 }
 
-double EndpointPicker::baseCost(const Endpoint& endpoint, double capacityShare, TimePoint now,
-                                RandomSource& random) const {
-    // Under low local traffic, an endpoint that is warming up is preferred as soon as its tokens cover an
-    // attempt.
-    if (stats_.hasLowLocalTraffic() && capacityShare < 1) return 0;
+double EndpointPicker::baseScore(const Endpoint& endpoint, double capacityShare, TimePoint now,
+                                 RandomSource& random) const {
+    // If this gateway rarely observes endpoints, it prefers one that is warming up as soon as the tokens of
+    // that endpoint cover an attempt.
+    if (stats_.observesEndpointsRarely() && capacityShare < 1) return 0;
     const double freshness = stats_.freshness(endpoint.load(), now);
     const double slowness = std::max(1 + (endpoint.load().slowness() - 1) * freshness, kMinSlowness);
     const double effectiveWeight = std::max(endpoint.entry().weight * capacityShare, kMinEffectiveWeight);
-    double cost = expectedInFlight(endpoint, freshness) / effectiveWeight * slowness;
-    if (endpoint.entry().zone != settings_.zone) cost *= kCrossZoneCostMultiplier;
-    return cost * (1 + kErrorRateWeight * endpoint.outlier().errorRate() * freshness) *
+    double score = expectedInFlight(endpoint, freshness) / effectiveWeight * slowness;
+    if (endpoint.entry().zone != settings_.zone) score *= kCrossZoneScoreMultiplier;
+    return score * (1 + kErrorRateWeight * endpoint.outlier().errorRate() * freshness) *
            (1 + kJitterShare * random.next());
 }
 
@@ -109,16 +109,16 @@
     return 1 + endpoint.inFlight() + mean + (endpoint.load().remoteInFlight() - mean) * freshness;
 }
 
-double EndpointPicker::addPenalties(double cost, std::size_t slot, const Endpoint& endpoint,
-                                    const Request& request) const {
-    if (endpoint.outlier().isOnProbation() && termsOf(request).idempotency != Idempotency::safe)
-        cost *= kProbationCostMultiplier;
+double EndpointPicker::applyPenaltyMultipliers(double score, std::size_t slot, const Endpoint& endpoint,
+                                               const Request& request) const {
+    if (endpoint.outlier().isOnProbation() && classOf(request).idempotency != Idempotency::safe)
+        score *= kProbationScoreMultiplier;
     for (const Attempt& attempt : request.attempts)
-        if (attempt.endpointSlot == slot) cost *= kRepeatedCostMultiplier;
-    return cost;
+        if (attempt.endpointSlot == slot) score *= kRepeatedScoreMultiplier;
+    return score;
 }
 
-const RequestClass& EndpointPicker::termsOf(const Request& request) const {
+const RequestClass& EndpointPicker::classOf(const Request& request) const {
     return settings_.classes[toPosition(request.arrival.requestClass)];
 }
 
--- a/src/decision/upstream/endpoint_picker.h
+++ b/src/decision/upstream/endpoint_picker.h
@@ -13,9 +13,9 @@
 
 namespace gateway {
 
-// Picks the endpoint with the lowest cost. The cost grows with the endpoint's load relative to its capacity,
-// its slowness and its error rate. A choice draws at most one random number for each candidate, in the order
-// of the slots.
+// Picks the endpoint with the lowest score. The score grows with the endpoint's load relative to its
+// capacity, its slowness and its error rate. A choice draws at most one random number for each candidate, in
+// the order of the slots.
 class EndpointPicker {
 public:
     // All arguments must outlive the picker.
@@ -37,15 +37,15 @@
                                           TimePoint now, RandomSource& random);
     static bool isCandidate(const Endpoint& endpoint, Pass pass, bool avoidsEjected, TimePoint now);
     bool isEjectionAllowed(TimePoint now) const;
-    bool canDeduplicate(const Endpoint& endpoint, const Request& request) const;
+    bool mayRepeatAt(const Endpoint& endpoint, const Request& request) const;
 
-    // Costs are dimensionless.
-    double baseCost(const Endpoint& endpoint, double capacityShare, TimePoint now,
-                    RandomSource& random) const;
+    // Scores are dimensionless.
+    double baseScore(const Endpoint& endpoint, double capacityShare, TimePoint now,
+                     RandomSource& random) const;
     double expectedInFlight(const Endpoint& endpoint, double freshness) const;
-    double addPenalties(double cost, std::size_t slot, const Endpoint& endpoint,
-                        const Request& request) const;
-    const RequestClass& termsOf(const Request& request) const;
+    double applyPenaltyMultipliers(double score, std::size_t slot, const Endpoint& endpoint,
+                                   const Request& request) const;
+    const RequestClass& classOf(const Request& request) const;
 
     const Settings& settings_;
     EndpointSet& endpoints_;
--- a/src/decision/upstream/endpoint_stats.cpp
+++ b/src/decision/upstream/endpoint_stats.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr double kMeanSmoothing = 0.15;  // weight of a new observation
-constexpr double kFreshnessSeconds = 3;  // min time constant of the decay
+constexpr double kMinDecaySeconds = 3;   // min time constant of the decay
 
 }  // namespace
 
@@ -23,11 +23,11 @@
 
 double EndpointStats::freshness(const EndpointLoad& load, TimePoint now) const {
     const double ageSeconds = toSeconds(now - load.observedAt());
-    return std::exp(-ageSeconds / std::max(kFreshnessSeconds, observationIntervalSeconds_));
+    return std::exp(-ageSeconds / std::max(kMinDecaySeconds, observationIntervalSeconds_));
 }
 
-bool EndpointStats::hasLowLocalTraffic() const {
-    return observationIntervalSeconds_ > kFreshnessSeconds;
+bool EndpointStats::observesEndpointsRarely() const {
+    return observationIntervalSeconds_ > kMinDecaySeconds;
 }
 
 }  // namespace gateway
--- a/src/decision/upstream/endpoint_stats.h
+++ b/src/decision/upstream/endpoint_stats.h
@@ -26,7 +26,7 @@
     double meanRemoteInFlight() const { return meanRemoteInFlight_; }
 
     // Whether this gateway has too little traffic to observe every endpoint often.
-    bool hasLowLocalTraffic() const;
+    bool observesEndpointsRarely() const;
 
 private:
     double meanRemoteInFlight_ = 0;
--- a/src/decision/upstream/latency_stats.cpp
+++ b/src/decision/upstream/latency_stats.cpp
@@ -20,12 +20,13 @@
     ClassLatency& latency = classes_[toPosition(requestClass)];
     AttemptSample sample;
     sample.seconds = toSeconds(ended.elapsed);
-    sample.objectiveShare = sample.seconds / toSeconds(termsOf(requestClass).latencyObjective);
-    sample.served = ended.outcome == Outcome::ok && !request.streaming;
+    sample.objectiveShare = sample.seconds / toSeconds(classOf(requestClass).latencyObjective);
+    sample.completedUnstreamed = ended.outcome == Outcome::ok && !request.streaming;
     sample.timedOut = ended.outcome == Outcome::timedOut;
-    sample.slow = sample.timedOut || (sample.served && sample.objectiveShare > kSlowObjectiveShare);
-    sample.overloaded = sample.slow || ended.outcome == Outcome::rejected;
-    if (sample.served) {
+    sample.slow =
+        sample.timedOut || (sample.completedUnstreamed && sample.objectiveShare > kSlowObjectiveShare);
+    sample.indicatesOverload = sample.slow || ended.outcome == Outcome::rejected;
+    if (sample.completedUnstreamed) {
         ++latency.samples;
         const double weight = std::max(kMinMeanSmoothing, 1.0 / latency.samples);
         latency.meanSeconds = movingAverage(latency.meanSeconds, sample.seconds, weight);
@@ -37,7 +38,7 @@
 double LatencyStats::expectedSeconds(RequestClassIndex requestClass) const {
     const double mean = classes_[toPosition(requestClass)].meanSeconds;
     if (mean > 0) return mean;
-    return toSeconds(termsOf(requestClass).latencyObjective) * kInitialObjectiveShare;
+    return toSeconds(classOf(requestClass).latencyObjective) * kInitialObjectiveShare;
 }
 
 double LatencyStats::relativeWork(RequestClassIndex requestClass) const {
@@ -52,7 +53,7 @@
 }
 
 Duration LatencyStats::latencyObjective(RequestClassIndex requestClass) const {
-    const RequestClass& terms = termsOf(requestClass);
+    const RequestClass& terms = classOf(requestClass);
     const double stretch = terms.latencyObjectiveStretch;
     const double stretchSeconds = stretch > 0 ? stretch * expectedSeconds(requestClass) : 0;
     const Duration maxObjective = std::max(terms.deadline, terms.latencyObjective);
@@ -61,7 +62,7 @@
 
 Duration LatencyStats::timeLeft(const Request& request, TimePoint now) const {
     const RequestArrived& arrival = request.arrival;
-    const RequestClass& terms = termsOf(arrival.requestClass);
+    const RequestClass& terms = classOf(arrival.requestClass);
     const bool isLateResponseUseless = terms.lateWeight <= 0 && !terms.streamed;
     TimePoint end = arrival.deadline;
     if (isLateResponseUseless)
@@ -69,7 +70,7 @@
     return end - now;
 }
 
-const RequestClass& LatencyStats::termsOf(RequestClassIndex requestClass) const {
+const RequestClass& LatencyStats::classOf(RequestClassIndex requestClass) const {
     return settings_.classes[toPosition(requestClass)];
 }
 
--- a/src/decision/upstream/latency_stats.h
+++ b/src/decision/upstream/latency_stats.h
@@ -40,7 +40,7 @@
         int samples = 0;
     };
 
-    const RequestClass& termsOf(RequestClassIndex requestClass) const;
+    const RequestClass& classOf(RequestClassIndex requestClass) const;
 
     const Settings& settings_;
     std::vector<ClassLatency> classes_;  // by RequestClassIndex
--- a/src/decision/upstream/retry_policy.cpp
+++ b/src/decision/upstream/retry_policy.cpp
@@ -26,12 +26,12 @@
     if (request.hasAttemptInFlight()) return false;
     const double expectedSeconds = latency_.expectedSeconds(request.arrival.requestClass);
     if (toSeconds(latency_.timeLeft(request, now)) < expectedSeconds) return false;
-    const bool isSafe = termsOf(request).idempotency == Idempotency::safe;
+    const bool isSafe = classOf(request).idempotency == Idempotency::safe;
     return !request.possibleExecution || isSafe || isWithinIdempotencyWindow(request, now);
 }
 
 bool RetryPolicy::isClientRetrySafe(const Request& request, TimePoint now) const {
-    const RequestClass& terms = termsOf(request);
+    const RequestClass& terms = classOf(request);
     if (terms.idempotency == Idempotency::safe) return true;
     if (!request.possibleExecution) return !request.hasAttemptInFlight();
     // The client's retry may reach any endpoint, so all endpoints must deduplicate it.
@@ -39,7 +39,7 @@
 }
 
 Duration RetryPolicy::maxSendDelay(const Request& request, TimePoint now) const {
-    const RequestClass& terms = termsOf(request);
+    const RequestClass& terms = classOf(request);
     if (!request.possibleExecution || terms.idempotency != Idempotency::withKey) return Duration{};
     return request.possibleExecution->sentAt + terms.idempotencyWindow - now;
 }
@@ -47,12 +47,12 @@
 // Whether endpoints still recognize the request's idempotency key. Precondition: the request may have been
 // executed.
 bool RetryPolicy::isWithinIdempotencyWindow(const Request& request, TimePoint now) const {
-    const RequestClass& terms = termsOf(request);
+    const RequestClass& terms = classOf(request);
     return terms.idempotency == Idempotency::withKey &&
            now < request.possibleExecution->sentAt + terms.idempotencyWindow;
 }
 
-const RequestClass& RetryPolicy::termsOf(const Request& request) const {
+const RequestClass& RetryPolicy::classOf(const Request& request) const {
     return settings_.classes[toPosition(request.arrival.requestClass)];
 }
 
--- a/src/decision/upstream/retry_policy.h
+++ b/src/decision/upstream/retry_policy.h
@@ -34,7 +34,7 @@
 
     bool canRetry(const Request& request, TimePoint now) const;
     bool isWithinIdempotencyWindow(const Request& request, TimePoint now) const;
-    const RequestClass& termsOf(const Request& request) const;
+    const RequestClass& classOf(const Request& request) const;
 
     const Settings& settings_;
     const LatencyStats& latency_;
--- a/src/decision/upstream/slow_start.cpp
+++ b/src/decision/upstream/slow_start.cpp
@@ -7,10 +7,10 @@
 namespace gateway {
 namespace {
 
-constexpr double kSlowShareSmoothing = 0.05;  // weight of a new attempt
-constexpr double kUsedOverloadShare = 0.9;    // share of the overload multiple that the budgets may use
-constexpr double kLowTrafficReserve = 1.25;   // divides the budgets under low local traffic
-constexpr double kUnservedCreditShare = 0.5;  // share of unserved work that is credited as served
+constexpr double kOverloadShareSmoothing = 0.05;  // weight of a new attempt
+constexpr double kUsedOverloadShare = 0.9;        // share of the overload multiple that the budgets may use
+constexpr double kLowTrafficReserve = 1.25;       // divides the budgets under low local traffic
+constexpr double kUnservedCreditShare = 0.5;      // share of unserved work that is credited as served
 // Unserved work is credited only after overloadWindow / kUnservedWindowDivisor without a served request.
 constexpr int kUnservedWindowDivisor = 8;
 constexpr double kMinFleetCapacity = 1e-9;  // guards against division by zero
@@ -50,7 +50,7 @@
     double capacity = fleet.effectiveWeight();
     // Under low local traffic, the distribution of requests over the gateways is random, so the gateways
     // don't send their attempts in turn. The budgets need a reserve for that.
-    if (stats_.hasLowLocalTraffic())
+    if (stats_.observesEndpointsRarely())
         capacity = std::max(fleet.fullWeight(), kLowTrafficReserve * fleet.effectiveWeight());
     return std::max(capacity, kMinFleetCapacity);
 }
@@ -60,8 +60,8 @@
 // larger share of the attempts at warm endpoints than of those at endpoints that are warming up indicates
 // overload, or if no endpoint is warm.
 double SlowStart::budgetMultiplier(const FleetCapacity& fleet) const {
-    const double excessSlowShare = (slowShareOfWarm_ - slowShareOfWarmingUp_) / kTargetSlowShare;
-    const double pressure = fleet.hasWarmEndpoint() ? std::clamp(excessSlowShare, 0.0, 1.0) : 1;
+    const double excessOverloadShare = (overloadShareOfWarm_ - overloadShareOfWarmingUp_) / kTargetSlowShare;
+    const double pressure = fleet.hasWarmEndpoint() ? std::clamp(excessOverloadShare, 0.0, 1.0) : 1;
     const double maxMultiplier = std::max(1.0, settings_.overloadMultiple * kUsedOverloadShare);
     return 1 + (maxMultiplier - 1) * pressure;
 }
@@ -72,9 +72,10 @@
 }
 
 void SlowStart::observe(const Endpoint& endpoint, const AttemptSample& sample, TimePoint now) {
-    if (!sample.overloaded && !sample.served) return;
-    double& slowShare = isWarmingUp(endpoint.entry(), now) ? slowShareOfWarmingUp_ : slowShareOfWarm_;
-    slowShare = movingAverage(slowShare, sample.overloaded ? 1 : 0, kSlowShareSmoothing);
+    if (!sample.indicatesOverload && !sample.completedUnstreamed) return;
+    double& overloadShare =
+        isWarmingUp(endpoint.entry(), now) ? overloadShareOfWarmingUp_ : overloadShareOfWarm_;
+    overloadShare = movingAverage(overloadShare, sample.indicatesOverload ? 1 : 0, kOverloadShareSmoothing);
 }
 
 void SlowStart::recordServed(const Endpoint& endpoint, double work, TimePoint now) {
--- a/src/decision/upstream/slow_start.h
+++ b/src/decision/upstream/slow_start.h
@@ -71,10 +71,10 @@
 
     const Settings& settings_;
     const EndpointStats& stats_;
-    double servedWork_ = 0;            // by usable endpoints, in requests of mean work
-    double slowShareOfWarm_ = 0;       // share of attempts at warm endpoints that indicate overload
-    double slowShareOfWarmingUp_ = 0;  // and of those at endpoints that are warming up
-    TimePoint servedAt_{};             // time of the latest served request
+    double servedWork_ = 0;                // by usable endpoints, in requests of mean work
+    double overloadShareOfWarm_ = 0;       // share of attempts at warm endpoints that indicate overload
+    double overloadShareOfWarmingUp_ = 0;  // and of those at endpoints that are warming up
+    TimePoint servedAt_{};                 // time of the latest served request
 };
 
 }  // namespace gateway
--- a/src/decision/upstream/slow_start_tokens.cpp
+++ b/src/decision/upstream/slow_start_tokens.cpp
@@ -11,12 +11,12 @@
 
 void SlowStartTokens::start(double tokens, double servedWork) {
     tokens_ = tokens;
-    accruedAt_ = servedWork;
+    servedWorkAtAccrual_ = servedWork;
 }
 
 void SlowStartTokens::accrue(double servedWork, double endpointCapacity, double fleetCapacity) {
-    const double served = servedWork - accruedAt_;
-    accruedAt_ = servedWork;
+    const double served = servedWork - servedWorkAtAccrual_;
+    servedWorkAtAccrual_ = servedWork;
     tokens_ = std::min(kMaxTokens, tokens_ + endpointCapacity * served / fleetCapacity);
 }
 
--- a/src/decision/upstream/slow_start_tokens.h
+++ b/src/decision/upstream/slow_start_tokens.h
@@ -17,7 +17,7 @@
     void accrue(double servedWork, double endpointCapacity, double fleetCapacity);
 
     // Discards the work served since the previous accrual.
-    void skip(double servedWork) { accruedAt_ = servedWork; }
+    void skip(double servedWork) { servedWorkAtAccrual_ = servedWork; }
 
     // Charges an attempt. `work`: in requests of mean work.
     void spend(double work) { tokens_ -= work; }
@@ -29,7 +29,7 @@
 
 private:
     double tokens_ = 0;
-    double accruedAt_ = 0;  // total served work at the latest accrual
+    double servedWorkAtAccrual_ = 0;  // total served work at the latest accrual
 };
 
 }  // namespace gateway
--- a/tests/decision/upstream/concurrency_limiter_test.cpp
+++ b/tests/decision/upstream/concurrency_limiter_test.cpp
@@ -20,9 +20,9 @@
     static AttemptSample servedSample(double objectiveShare) {
         AttemptSample sample;
         sample.objectiveShare = objectiveShare;
-        sample.served = true;
+        sample.completedUnstreamed = true;
         sample.slow = objectiveShare > kSlowObjectiveShare;
-        sample.overloaded = sample.slow;
+        sample.indicatesOverload = sample.slow;
         return sample;
     }
 
@@ -31,7 +31,7 @@
         sample.objectiveShare = 4;
         sample.timedOut = true;
         sample.slow = true;
-        sample.overloaded = true;
+        sample.indicatesOverload = true;
         return sample;
     }
 
--- a/tests/decision/upstream/endpoint_concurrency_limit_test.cpp
+++ b/tests/decision/upstream/endpoint_concurrency_limit_test.cpp
@@ -18,9 +18,9 @@
     static AttemptSample responseSample(bool overloaded) {
         AttemptSample sample;
         sample.classMeanSeconds = 0.1;
-        sample.served = true;
+        sample.completedUnstreamed = true;
         sample.slow = overloaded;
-        sample.overloaded = overloaded;
+        sample.indicatesOverload = overloaded;
         return sample;
     }
 
--- a/tests/decision/upstream/endpoint_load_test.cpp
+++ b/tests/decision/upstream/endpoint_load_test.cpp
@@ -14,7 +14,7 @@
     AttemptSample sample;
     sample.seconds = 0.1 * slowness;
     sample.classMeanSeconds = 0.1;
-    sample.served = true;
+    sample.completedUnstreamed = true;
     return sample;
 }
 
@@ -39,7 +39,7 @@
 TEST(EndpointLoadTest, AttemptWithoutLatencyChangesOnlyTheTimeOfTheLatestOutcome) {
     EndpointLoad load;
     AttemptSample rejected = responseSample(5);
-    rejected.served = false;
+    rejected.completedUnstreamed = false;
     load.recordAttempt(rejected, kNow);
     EXPECT_EQ(load.slowness(), 1);
     EXPECT_EQ(load.observedAt(), kNow);
--- a/tests/decision/upstream/endpoint_stats_test.cpp
+++ b/tests/decision/upstream/endpoint_stats_test.cpp
@@ -33,9 +33,9 @@
 
 TEST_F(EndpointStatsTest, HasLowLocalTrafficWhenEndpointsAreObservedRarely) {
     observeEvery(milliseconds(100));  // every endpoint once a second
-    EXPECT_FALSE(stats.hasLowLocalTraffic());
+    EXPECT_FALSE(stats.observesEndpointsRarely());
     observeEvery(milliseconds(500));  // every endpoint once in five seconds
-    EXPECT_TRUE(stats.hasLowLocalTraffic());
+    EXPECT_TRUE(stats.observesEndpointsRarely());
 }
 
 TEST_F(EndpointStatsTest, FreshnessDecaysFromOneTowardsZero) {
--- a/tests/decision/upstream/latency_stats_test.cpp
+++ b/tests/decision/upstream/latency_stats_test.cpp
@@ -54,10 +54,10 @@
     EXPECT_FALSE(observe(kLight, Outcome::ok, milliseconds(360)).slow);
     const AttemptSample slow = observe(kLight, Outcome::ok, milliseconds(361));
     EXPECT_TRUE(slow.slow);
-    EXPECT_TRUE(slow.overloaded);
+    EXPECT_TRUE(slow.indicatesOverload);
     const AttemptSample rejected = observe(kLight, Outcome::rejected, milliseconds(1));
     EXPECT_FALSE(rejected.slow);
-    EXPECT_TRUE(rejected.overloaded);
+    EXPECT_TRUE(rejected.indicatesOverload);
 }
 
 TEST_F(LatencyStatsTest, TimeLeftEndsAtTheObjectiveUnlessLateResponsesEarnWeight) {
