--- a/src/decision/upstream/endpoint_set.cpp
+++ b/src/decision/upstream/endpoint_set.cpp
@@ -51,7 +51,7 @@
 }
 
 void EndpointSet::rebuildSubset(TimePoint now) {
-    FleetCapacity capacity;
+    TotalCapacity capacity;
     std::vector<Endpoint*> warm;
     std::vector<Endpoint*> warmingUp;
     warm.reserve(endpoints_.size());
--- a/src/decision/upstream/endpoint_set.h
+++ b/src/decision/upstream/endpoint_set.h
@@ -9,8 +9,8 @@
 #include "decision/upstream/concurrency_limiter.h"
 #include "decision/upstream/endpoint.h"
 #include "decision/upstream/endpoint_subset.h"
-#include "decision/upstream/fleet_capacity.h"
 #include "decision/upstream/slow_start.h"
+#include "decision/upstream/total_capacity.h"
 #include "gateway/settings.h"
 
 namespace gateway {
@@ -40,7 +40,7 @@
     std::size_t endpointCount() const { return slotByName_.size(); }
 
     // Capacity of the usable endpoints at the latest selection of the subset.
-    const FleetCapacity& capacity() const { return capacity_; }
+    const TotalCapacity& capacity() const { return capacity_; }
 
     // Whether a usable endpoint is neither warming up nor ejected.
     bool hasAvailableWarmEndpoint(TimePoint now) const;
@@ -56,7 +56,7 @@
     std::vector<Endpoint> endpoints_;  // by slot
     std::unordered_map<EndpointId, std::size_t> slotByName_;
     std::vector<std::size_t> freeSlots_;
-    FleetCapacity capacity_;
+    TotalCapacity capacity_;
     EndpointSubset subset_;
 };
 
--- a/src/decision/upstream/slow_start.cpp
+++ b/src/decision/upstream/slow_start.cpp
@@ -13,7 +13,7 @@
 constexpr double kUnservedCreditShare = 0.5;      // share of unserved work that is credited as served
 // Unserved work is credited only after overloadWindow / kUnservedWindowDivisor without a served request.
 constexpr int kUnservedWindowDivisor = 8;
-constexpr double kMinFleetCapacity = 1e-9;  // guards against division by zero
+constexpr double kMinTotalCapacity = 1e-9;  // guards against division by zero
 
 }  // namespace
 
@@ -29,39 +29,39 @@
     endpoint.slowStartTokens().start(tokens, servedWork_);
 }
 
-void SlowStart::accrueTokens(Endpoint& endpoint, double capacityShare, const FleetCapacity& fleet) const {
+void SlowStart::accrueTokens(Endpoint& endpoint, double capacityShare, const TotalCapacity& total) const {
     if (capacityShare >= 1) return;
     if (!endpoint.isInSubset()) {
         endpoint.slowStartTokens().skip(servedWork_);
         return;
     }
-    endpoint.slowStartTokens().accrue(servedWork_, endpointCapacity(endpoint, capacityShare, fleet),
-                                      fleetCapacity(fleet));
+    endpoint.slowStartTokens().accrue(servedWork_, endpointCapacity(endpoint, capacityShare, total),
+                                      totalCapacityWithReserve(total));
 }
 
 // Returns the capacity by which this gateway's budget for the endpoint grows. It is divided by the subset
 // share, since only the gateways whose subsets contain the endpoint use it.
 double SlowStart::endpointCapacity(const Endpoint& endpoint, double capacityShare,
-                                   const FleetCapacity& fleet) const {
-    return capacityShare * endpoint.entry().weight * budgetMultiplier(fleet) / endpoint.subsetShare();
+                                   const TotalCapacity& total) const {
+    return capacityShare * endpoint.entry().weight * budgetMultiplier(total) / endpoint.subsetShare();
 }
 
-double SlowStart::fleetCapacity(const FleetCapacity& fleet) const {
-    double capacity = fleet.effectiveWeight();
+double SlowStart::totalCapacityWithReserve(const TotalCapacity& total) const {
+    double capacity = total.effectiveWeight();
     // Under low local traffic, the distribution of requests over the gateways is random, so the gateways
     // don't send their attempts in turn. The budgets need a reserve for that.
     if (stats_.observesEndpointsRarely())
-        capacity = std::max(fleet.fullWeight(), kLowTrafficReserve * fleet.effectiveWeight());
-    return std::max(capacity, kMinFleetCapacity);
+        capacity = std::max(total.fullWeight(), kLowTrafficReserve * total.effectiveWeight());
+    return std::max(capacity, kMinTotalCapacity);
 }
 
 // With a multiplier of 1, an endpoint is utilized as much as the warm endpoints; further attempts would queue
 // there while warm endpoints have capacity left. The multiplier rises towards the overload multiple while a
 // larger share of the attempts at warm endpoints than of those at endpoints that are warming up indicates
 // overload, or if no endpoint is warm.
-double SlowStart::budgetMultiplier(const FleetCapacity& fleet) const {
+double SlowStart::budgetMultiplier(const TotalCapacity& total) const {
     const double excessOverloadShare = (overloadShareOfWarm_ - overloadShareOfWarmingUp_) / kTargetSlowShare;
-    const double pressure = fleet.hasWarmEndpoint() ? std::clamp(excessOverloadShare, 0.0, 1.0) : 1;
+    const double pressure = total.hasWarmEndpoint() ? std::clamp(excessOverloadShare, 0.0, 1.0) : 1;
     const double maxMultiplier = std::max(1.0, settings_.overloadMultiple * kUsedOverloadShare);
     return 1 + (maxMultiplier - 1) * pressure;
 }
--- a/src/decision/upstream/slow_start.h
+++ b/src/decision/upstream/slow_start.h
@@ -13,7 +13,7 @@
 #include "decision/upstream/attempt_sample.h"
 #include "decision/upstream/endpoint.h"
 #include "decision/upstream/endpoint_stats.h"
-#include "decision/upstream/fleet_capacity.h"
+#include "decision/upstream/total_capacity.h"
 #include "gateway/settings.h"
 
 namespace gateway {
@@ -39,8 +39,8 @@
     void startTokens(Endpoint& endpoint) const;
 
     // Credits the endpoint's budget for the work served since its previous accrual. Does nothing for a warm
-    // endpoint. `capacityShare`: of this endpoint. `fleet`: the capacity of all usable endpoints.
-    void accrueTokens(Endpoint& endpoint, double capacityShare, const FleetCapacity& fleet) const;
+    // endpoint. `capacityShare`: of this endpoint. `total`: the capacity of all usable endpoints.
+    void accrueTokens(Endpoint& endpoint, double capacityShare, const TotalCapacity& total) const;
 
     // Whether the endpoint may receive an attempt now; always true for a warm endpoint. Precondition:
     // accrueTokens() was called for the present time.
@@ -65,9 +65,9 @@
     // Precondition: slow start is not over at this age. A negative age counts as 0.
     double rampShare(Duration age) const;
 
-    double endpointCapacity(const Endpoint& endpoint, double capacityShare, const FleetCapacity& fleet) const;
-    double fleetCapacity(const FleetCapacity& fleet) const;
-    double budgetMultiplier(const FleetCapacity& fleet) const;
+    double endpointCapacity(const Endpoint& endpoint, double capacityShare, const TotalCapacity& total) const;
+    double totalCapacityWithReserve(const TotalCapacity& total) const;
+    double budgetMultiplier(const TotalCapacity& total) const;
 
     const Settings& settings_;
     const EndpointStats& stats_;
--- a/src/decision/upstream/slow_start_tokens.cpp
+++ b/src/decision/upstream/slow_start_tokens.cpp
@@ -14,10 +14,10 @@
     servedWorkAtAccrual_ = servedWork;
 }
 
-void SlowStartTokens::accrue(double servedWork, double endpointCapacity, double fleetCapacity) {
+void SlowStartTokens::accrue(double servedWork, double endpointCapacity, double totalCapacity) {
     const double served = servedWork - servedWorkAtAccrual_;
     servedWorkAtAccrual_ = servedWork;
-    tokens_ = std::min(kMaxTokens, tokens_ + endpointCapacity * served / fleetCapacity);
+    tokens_ = std::min(kMaxTokens, tokens_ + endpointCapacity * served / totalCapacity);
 }
 
 }  // namespace gateway
--- a/src/decision/upstream/slow_start_tokens.h
+++ b/src/decision/upstream/slow_start_tokens.h
@@ -13,8 +13,8 @@
     void start(double tokens, double servedWork);
 
     // Credits the work served since the previous accrual, in proportion to the endpoint's capacity.
-    // Precondition: `fleetCapacity` is above 0, in the same unit as `endpointCapacity`.
-    void accrue(double servedWork, double endpointCapacity, double fleetCapacity);
+    // Precondition: `totalCapacity` is above 0, in the same unit as `endpointCapacity`.
+    void accrue(double servedWork, double endpointCapacity, double totalCapacity);
 
     // Discards the work served since the previous accrual.
     void skip(double servedWork) { servedWorkAtAccrual_ = servedWork; }
--- a/src/decision/upstream/fleet_capacity.h
+++ b/src/decision/upstream/total_capacity.h
@@ -4,7 +4,7 @@
 namespace gateway {
 
 // Sums of the endpoints' weights. Invariant: the effective weight lies between 0 and the full weight.
-class FleetCapacity {
+class TotalCapacity {
 public:
     // Adds an endpoint. `capacityShare`: the share of its full capacity that it has now, from 0 to 1; below 1
     // while it is warming up.
--- a/tests/decision/upstream/slow_start_test.cpp
+++ b/tests/decision/upstream/slow_start_test.cpp
@@ -27,11 +27,11 @@
     }
 
     // Capacity of a warm endpoint and one that has just started.
-    static FleetCapacity fleet() {
-        FleetCapacity fleet;
-        fleet.add(1, 1);
-        fleet.add(1, kInitialShare);
-        return fleet;
+    static TotalCapacity totalCapacity() {
+        TotalCapacity total;
+        total.add(1, 1);
+        total.add(1, kInitialShare);
+        return total;
     }
 
     static constexpr double kInitialShare = 0.25;
@@ -63,10 +63,10 @@
 
 TEST_F(SlowStartTest, TokensAccrueFromWorkThatUsableEndpointsServe) {
     slowStart.recordServed(warmEndpoint, 100, kStart);  // this endpoint is not listed, so it is not usable
-    slowStart.accrueTokens(endpoint, kInitialShare, fleet());
+    slowStart.accrueTokens(endpoint, kInitialShare, totalCapacity());
     EXPECT_EQ(endpoint.slowStartTokens().tokens(), 0);
     slowStart.recordServed(endpoint, 2.5, kStart);
-    slowStart.accrueTokens(endpoint, kInitialShare, fleet());
+    slowStart.accrueTokens(endpoint, kInitialShare, totalCapacity());
     EXPECT_DOUBLE_EQ(endpoint.slowStartTokens().tokens(), 0.5);  // its share of the capacity is 0.25 of 1.25
 }
 
@@ -74,26 +74,26 @@
     slowStart.recordServed(endpoint, 100, kStart);
     EXPECT_FALSE(SlowStart::mayReceiveAttempt(endpoint, kInitialShare));
     EXPECT_EQ(endpoint.slowStartTokens().tokens(), 0);
-    slowStart.accrueTokens(endpoint, kInitialShare, fleet());
+    slowStart.accrueTokens(endpoint, kInitialShare, totalCapacity());
     EXPECT_TRUE(SlowStart::mayReceiveAttempt(endpoint, kInitialShare));
 }
 
 TEST_F(SlowStartTest, EndpointOutsideTheSubsetAccruesNoTokens) {
     slowStart.recordServed(endpoint, 100, kStart);
     endpoint.setSubsetShare(0);
-    slowStart.accrueTokens(endpoint, kInitialShare, fleet());
+    slowStart.accrueTokens(endpoint, kInitialShare, totalCapacity());
     endpoint.setSubsetShare(1);
-    slowStart.accrueTokens(endpoint, kInitialShare, fleet());
+    slowStart.accrueTokens(endpoint, kInitialShare, totalCapacity());
     EXPECT_EQ(endpoint.slowStartTokens().tokens(), 0);
 }
 
 TEST_F(SlowStartTest, CreditsHalfOfUnservedWorkAfterATimeWithoutServedRequest) {
     slowStart.recordServed(warmEndpoint, 1, kStart);
     slowStart.recordUnserved(2, kStart + milliseconds(125));  // an eighth of the overload window
-    slowStart.accrueTokens(endpoint, kInitialShare, fleet());
+    slowStart.accrueTokens(endpoint, kInitialShare, totalCapacity());
     EXPECT_EQ(endpoint.slowStartTokens().tokens(), 0);
     slowStart.recordUnserved(2, kStart + milliseconds(126));
-    slowStart.accrueTokens(endpoint, kInitialShare, fleet());
+    slowStart.accrueTokens(endpoint, kInitialShare, totalCapacity());
     EXPECT_DOUBLE_EQ(endpoint.slowStartTokens().tokens(), 0.2);
 }
 
@@ -249,7 +249,7 @@
         for (int i = 0; i < kEndpoints; ++i)
             list.entries.push_back(EngineFixture::entry("w" + std::to_string(i)));
         list.entries[0].startedAt = kStart;
-        list.entries[0].weight = 8;  // so that it has the lowest cost even while warming up
+        list.entries[0].weight = 8;  // so that it has the lowest score even while warming up
         return list;
     }
 
--- a/tests/decision/upstream/slow_start_tokens_test.cpp
+++ b/tests/decision/upstream/slow_start_tokens_test.cpp
@@ -8,36 +8,36 @@
 class SlowStartTokensTest : public testing::Test {
 protected:
     static constexpr double kEndpointCapacity = 1;
-    static constexpr double kFleetCapacity = 4;
+    static constexpr double kTotalCapacity = 4;
 };
 
 TEST_F(SlowStartTokensTest, AccruesInProportionToTheEndpointsCapacity) {
     SlowStartTokens tokens;
     tokens.start(0.25, 10);
-    tokens.accrue(12, kEndpointCapacity, kFleetCapacity);
+    tokens.accrue(12, kEndpointCapacity, kTotalCapacity);
     EXPECT_DOUBLE_EQ(tokens.tokens(), 0.75);
     EXPECT_FALSE(tokens.hasToken());
-    tokens.accrue(13, kEndpointCapacity, kFleetCapacity);
+    tokens.accrue(13, kEndpointCapacity, kTotalCapacity);
     EXPECT_TRUE(tokens.hasToken());
 }
 
 TEST_F(SlowStartTokensTest, CreditsServedWorkOnlyOnce) {
     SlowStartTokens tokens;
-    tokens.accrue(2, kEndpointCapacity, kFleetCapacity);
-    tokens.accrue(2, kEndpointCapacity, kFleetCapacity);
+    tokens.accrue(2, kEndpointCapacity, kTotalCapacity);
+    tokens.accrue(2, kEndpointCapacity, kTotalCapacity);
     EXPECT_DOUBLE_EQ(tokens.tokens(), 0.5);
 }
 
 TEST_F(SlowStartTokensTest, DiscardsSkippedWork) {
     SlowStartTokens tokens;
     tokens.skip(100);
-    tokens.accrue(102, kEndpointCapacity, kFleetCapacity);
+    tokens.accrue(102, kEndpointCapacity, kTotalCapacity);
     EXPECT_DOUBLE_EQ(tokens.tokens(), 0.5);
 }
 
 TEST_F(SlowStartTokensTest, KeepsTokensWithinTheirMaximum) {
     SlowStartTokens tokens;
-    tokens.accrue(1000, kEndpointCapacity, kFleetCapacity);
+    tokens.accrue(1000, kEndpointCapacity, kTotalCapacity);
     EXPECT_EQ(tokens.tokens(), 1.5);
 }
 
@@ -46,7 +46,7 @@
     tokens.start(1, 0);
     tokens.spend(2);
     EXPECT_EQ(tokens.tokens(), -1);
-    tokens.accrue(8, kEndpointCapacity, kFleetCapacity);
+    tokens.accrue(8, kEndpointCapacity, kTotalCapacity);
     EXPECT_TRUE(tokens.hasToken());
 }
 
--- a/tests/decision/upstream/fleet_capacity_test.cpp
+++ b/tests/decision/upstream/total_capacity_test.cpp
@@ -1,12 +1,12 @@
-#include "decision/upstream/fleet_capacity.h"
+#include "decision/upstream/total_capacity.h"
 
 #include <gtest/gtest.h>
 
 namespace gateway {
 namespace {
 
-TEST(FleetCapacityTest, SumsFullAndPresentCapacity) {
-    FleetCapacity capacity;
+TEST(TotalCapacityTest, SumsFullAndPresentCapacity) {
+    TotalCapacity capacity;
     capacity.add(2, 0.25);
     EXPECT_EQ(capacity.fullWeight(), 2);
     EXPECT_EQ(capacity.effectiveWeight(), 0.5);
@@ -17,8 +17,8 @@
     EXPECT_TRUE(capacity.hasWarmEndpoint());
 }
 
-TEST(FleetCapacityTest, IsEmptyWithoutEndpoints) {
-    const FleetCapacity capacity;
+TEST(TotalCapacityTest, IsEmptyWithoutEndpoints) {
+    const TotalCapacity capacity;
     EXPECT_EQ(capacity.fullWeight(), 0);
     EXPECT_EQ(capacity.effectiveWeight(), 0);
     EXPECT_FALSE(capacity.hasWarmEndpoint());
