--- a/src/decision/engine/endpoint_watch.h
+++ b/src/decision/engine/endpoint_watch.h
@@ -1,4 +1,5 @@
-// Applies the updates of discovery to the endpoint set, and opens the watch if discovery is polled.
+// Applies the updates of discovery to the endpoint set, and opens the watch on discovery: with
+// DiscoveryMode::poll after the first successful update, and in both modes some time after a failed one.
 #pragma once
 
 #include "decision/engine/event_context.h"
@@ -21,12 +22,12 @@
 
 private:
     void scheduleRetry(EventContext& context) const;
-    void startOnce(EventContext& context);
+    void openWatchOnce(EventContext& context);
 
     const Settings& settings_;
     EndpointSet& endpoints_;
     ConcurrencyLimiter& limiter_;
-    bool started_ = false;
+    bool watchOpened_ = false;  // by openWatchOnce()
 };
 
 }  // namespace gateway
--- a/src/decision/engine/request.h
+++ b/src/decision/engine/request.h
@@ -38,10 +38,14 @@
     QuotaCharge charge;
     std::vector<Attempt> attempts;
     std::optional<PossibleExecution> possibleExecution;
-    bool decided = false;          // the quota admitted or rejected it, or its client disconnected first
-    bool closed = false;           // it has its final answer, or its client disconnected
-    bool streaming = false;        // its response has begun
-    bool reachedEndpoint = false;  // with a ceiling, also if an attempt failed to connect
+    // The quota admitted or rejected it, the gateway answered it without a decision, or its client
+    // disconnected. Forwarding a request does not set this if the settings have no quota plans.
+    bool decided = false;
+    bool closed = false;     // it has its final answer, or its client disconnected
+    bool streaming = false;  // its response has begun
+    // An attempt was sent, so that the charge is not refunded. An attempt that failed to connect counts only
+    // under a plan with a ceiling.
+    bool countsAsSent = false;
 
     bool hasAttemptInFlight() const;
 };
--- a/src/decision/engine/request_lifecycle.h
+++ b/src/decision/engine/request_lifecycle.h
@@ -29,8 +29,8 @@
     // The modules that send a request to endpoints.
     struct Upstream {
         const LatencyStats& latency;
-        RetryPolicy& retries;
-        AttemptDispatcher& attempts;
+        RetryPolicy& retryPolicy;
+        AttemptDispatcher& dispatcher;
     };
 
     // All arguments, and the objects that they refer to, must outlive this object.
@@ -53,7 +53,8 @@
     // Records that the request's attempts can no longer be cancelled.
     void onStreamStarted(const StreamStarted& started);
 
-    // Cancels the request's attempts, and refunds its charge if its admission was not decided yet.
+    // Closes the request. Cancels its attempts if the settings allow it and no response has begun. Refunds
+    // its charge if its admission was not decided yet.
     void onClientDisconnected(EventContext& context, const ClientDisconnected& disconnected);
 
 private:
@@ -64,12 +65,14 @@
     void forward(EventContext& context, Request& request);
     void cancelAttempts(EventContext& context, const Request& request) const;
     void refundUndecided(EventContext& context, Request& request);
-    void recordEndpointReached(Request& request, Outcome outcome) const;
+    void recordWhetherSent(Request& request, Outcome outcome) const;
     void recordReportedUsage(EventContext& context, Request& request, const AttemptEnded& ended,
                              Tenant* tenant);
     void answerUnserved(EventContext& context, Request& request, Duration retryAfter);
 
     bool hasTimeToBeServed(const Request& request, TimePoint now) const;
+    // Mean response time of the request's class. A client whose request could not be sent or retried may try
+    // again after this time: attempts in flight should have ended by then and freed capacity.
     Duration expectedResponseTime(const Request& request) const;
     const QuotaPlan* planOf(const Request& request) const;
 
@@ -79,8 +82,8 @@
     CounterLedger& ledger_;
     QuotaAdmission& admission_;
     const LatencyStats& latency_;
-    RetryPolicy& retries_;
-    AttemptDispatcher& attempts_;
+    RetryPolicy& retryPolicy_;
+    AttemptDispatcher& dispatcher_;
 };
 
 }  // namespace gateway
--- a/src/decision/upstream/slow_start.h
+++ b/src/decision/upstream/slow_start.h
@@ -13,13 +13,13 @@
 #include "decision/upstream/attempt_sample.h"
 #include "decision/upstream/endpoint.h"
 #include "decision/upstream/endpoint_stats.h"
-#include "decision/upstream/fleet_capacity.h"
+#include "decision/upstream/total_capacity.h"
 #include "gateway/settings.h"
 
 namespace gateway {
 
 // Computes the budgets, which the endpoints store as SlowStartTokens. Invariants: the served work never
-// decreases; the shares of slow responses lie between 0 and 1.
+// decreases; the shares of attempts that indicate overload lie between 0 and 1.
 class SlowStart {
 public:
     // Both arguments must outlive the object.
@@ -39,14 +39,15 @@
     void startTokens(Endpoint& endpoint) const;
 
     // Credits the endpoint's budget for the work served since its previous accrual. Does nothing for a warm
-    // endpoint. `capacityShare`: of this endpoint. `fleet`: the capacity of all usable endpoints.
-    void accrueTokens(Endpoint& endpoint, double capacityShare, const FleetCapacity& fleet) const;
+    // endpoint. `capacityShare`: of this endpoint. `total`: the capacity of all usable endpoints.
+    void accrueTokens(Endpoint& endpoint, double capacityShare, const TotalCapacity& total) const;
 
     // Whether the endpoint may receive an attempt now; always true for a warm endpoint. Precondition:
     // accrueTokens() was called for the present time.
     static bool mayReceiveAttempt(const Endpoint& endpoint, double capacityShare);
 
-    // Updates the share of slow responses with an attempt at the endpoint that ended.
+    // Updates the share of attempts that indicate overload with an attempt at the endpoint that ended.
+    // Ignores an attempt that neither indicates overload nor has a complete, unstreamed response.
     void observe(const Endpoint& endpoint, const AttemptSample& sample, TimePoint now);
 
     // Records that the endpoint served a request. `work`: in requests of mean work.
@@ -64,16 +65,16 @@
     // Precondition: slow start is not over at this age. A negative age counts as 0.
     double rampShare(Duration age) const;
 
-    double endpointCapacity(const Endpoint& endpoint, double capacityShare, const FleetCapacity& fleet) const;
-    double fleetCapacity(const FleetCapacity& fleet) const;
-    double budgetMultiplier(const FleetCapacity& fleet) const;
+    double endpointCapacity(const Endpoint& endpoint, double capacityShare, const TotalCapacity& total) const;
+    double totalCapacityWithReserve(const TotalCapacity& total) const;
+    double budgetMultiplier(const TotalCapacity& total) const;
 
     const Settings& settings_;
     const EndpointStats& stats_;
-    double servedWork_ = 0;            // by usable endpoints, in requests of mean work
-    double slowShareOfWarm_ = 0;       // share of slow responses among those of warm endpoints
-    double slowShareOfWarmingUp_ = 0;  // and among those of endpoints warming up
-    TimePoint servedAt_{};             // time of the latest served request
+    double servedWork_ = 0;                // by usable endpoints, in requests of mean work
+    double overloadShareOfWarm_ = 0;       // share of attempts at warm endpoints that indicate overload
+    double overloadShareOfWarmingUp_ = 0;  // and of those at endpoints that are warming up
+    TimePoint servedAt_{};                 // time of the latest served request
 };
 
 }  // namespace gateway
--- a/src/decision/upstream/slow_start_tokens.h
+++ b/src/decision/upstream/slow_start_tokens.h
@@ -4,8 +4,8 @@
 namespace gateway {
 
 // A token pays for one attempt of mean work. Invariants: accrual never raises the balance above its maximum;
-// the same served work is never credited twice. The balance may become negative, since an attempt may cost
-// more than one token.
+// the same served work is never credited twice. The balance may become negative without a bound, since an
+// attempt may cost more than one token, and attempts at a warm endpoint are charged without being limited.
 class SlowStartTokens {
 public:
     // Starts the budget with `tokens`. `servedWork`, here and below: the total work served since the gateway
@@ -13,11 +13,11 @@
     void start(double tokens, double servedWork);
 
     // Credits the work served since the previous accrual, in proportion to the endpoint's capacity.
-    // Precondition: `fleetCapacity` is above 0, in the same unit as `endpointCapacity`.
-    void accrue(double servedWork, double endpointCapacity, double fleetCapacity);
+    // Precondition: `totalCapacity` is above 0, in the same unit as `endpointCapacity`.
+    void accrue(double servedWork, double endpointCapacity, double totalCapacity);
 
     // Discards the work served since the previous accrual.
-    void skip(double servedWork) { accruedAt_ = servedWork; }
+    void skip(double servedWork) { servedWorkAtAccrual_ = servedWork; }
 
     // Charges an attempt. `work`: in requests of mean work.
     void spend(double work) { tokens_ -= work; }
@@ -29,7 +29,7 @@
 
 private:
     double tokens_ = 0;
-    double accruedAt_ = 0;  // total served work at the latest accrual
+    double servedWorkAtAccrual_ = 0;  // total served work at the latest accrual
 };
 
 }  // namespace gateway
