--- a/include/gateway/settings.h
+++ b/include/gateway/settings.h
@@ -21,17 +21,18 @@
 // Which endpoints recognize a repeat of a request by its key when another of them received the request first.
 enum class DeduplicationScope { all, zone, cell };
 
-// The terms under which requests of one class are served.
+// The terms under which requests of one class are served. A response within the latency objective has the
+// full value of its request: priorityWeight times QuotaPlan::price times the request's cost.
 struct RequestClass {
     Idempotency idempotency = Idempotency::safe;
     DeduplicationScope deduplicationScope = DeduplicationScope::all;  // for Idempotency::withKey
     // For Idempotency::withKey: from the sending of the earliest attempt that may have been executed.
     Duration idempotencyWindow{};
-    Duration latencyObjective{};         // a response within it earns the full weight; above 0
+    Duration latencyObjective{};         // a response within it has the full value; above 0
     double latencyObjectiveStretch = 0;  // multiple of the class's mean response time added to the objective
-    Duration deadline{};                 // longest wait of a client, its retries included; above 0
-    double lateWeight = 0;      // share of the weight that a response between objective and deadline earns
-    double priorityWeight = 1;  // weight of a response within the objective
+    Duration deadline{};        // longest wait of a client, including the client's own retries; above 0
+    double lateWeight = 0;      // share of the full value that a response between objective and deadline has
+    double priorityWeight = 1;  // factor of the full value; not used by the engine
     bool streamed = false;      // responses are sent as streams
 };
 
@@ -42,10 +43,10 @@
     int concurrency = 0;     // attempts in flight over all gateways; 0: not limited
     double ceilingRate = 0;  // cost per second that must never be exceeded; 0: no ceiling
     double ceilingBurst = 0;
-    double ceilingSlack = 0;      // cost by which the ceiling's bucket may fall below zero
-    double price = 1;             // factor of a request's weight, per unit of its cost
-    double overQuotaWeight = 0;   // share of its weight that a request beyond the quota earns
-    double overQuotaPenalty = 0;  // share of its weight deducted for forwarding it beyond the quota
+    double ceilingSlack = 0;      // cost by which the ceiling may be exceeded; not used by the engine
+    double price = 1;             // factor of the full value of a response, per unit of the request's cost
+    double overQuotaWeight = 0;   // share of the full value that a response beyond the quota has
+    double overQuotaPenalty = 0;  // share of the full value deducted for forwarding beyond the quota
 };
 
 // How the gateway learns about changes of the endpoint set.
@@ -84,16 +85,17 @@
     Duration counterTimeout{};
     double maxRequestCost = 1;
     bool reconciliationEnabled = false;  // costs are estimates; responses report the actual ones
-    Duration usageMeterPeriod{};         // of the quota usage meter in responses; 0: they have none
+    // Period of the usage meter in responses (AttemptEnded::quotaUsagePercent); 0: responses have no meter.
+    Duration usageMeterPeriod{};
 
     Duration responseSlack{};          // time past the client's deadline in which a final answer still counts
     Duration drainGracePeriod{};       // during which a draining endpoint may still receive attempts
-    Duration maxPollInterval{};        // DiscoveryMode::poll: changes count as known after this time
+    Duration maxPollInterval{};        // DiscoveryMode::poll: longest time between two polls
     double slowStartInitialShare = 1;  // share of its capacity that an endpoint has at its start, from 0 to 1
     Duration slowStartDuration{};      // time until it has its full capacity; 0: no slow start
     double overloadMultiple = 1;  // multiple of its capacity above which an endpoint fails while warming up
     Duration overloadWindow{};    // duration of the excess after which it fails
-    double crossZonePenalty = 0;  // penalty for one attempt per request that crosses zones
+    double crossZonePenalty = 0;  // once per request with an attempt in another zone; not used by the engine
 };
 
 // A reason why settings can't be used.
--- a/include/gateway/types.h
+++ b/include/gateway/types.h
@@ -14,8 +14,8 @@
 // A span of time. Microseconds are the resolution of the protocol.
 using Duration = std::chrono::microseconds;
 
-// The clock that all gateways of a fleet share. The names of window slices on the counter and the start times
-// of endpoints are counted from its epoch. It has no now(): callers pass the current time in.
+// The clock that all gateways of a fleet share. Window slices are numbered, and the start times of endpoints
+// are measured, from its epoch. It has no now(): callers pass the current time in.
 struct FleetClock {
     using duration = Duration;
     using rep = duration::rep;
