--- a/src/decision/quota/quota_window.cpp
+++ b/src/decision/quota/quota_window.cpp
@@ -77,6 +77,7 @@
     const QuotaPlan& plan = usage_.planOf(tenant);
     const double length = sliceSeconds(plan);
     const double age = sliceAgeSeconds(tenant.id, plan, slice.index(), now);
+    // The quota of a closed slice stops growing at its end.
     const double quotaAtEnd = maxBurst(plan) + plan.rate * length;
     const double quota = std::min(quotaAtEnd, quotaAtEnd + plan.rate * (age - length));
     return slice.total() <= quota - slice.expiredBurst();
--- a/src/decision/quota/quota_window.h
+++ b/src/decision/quota/quota_window.h
@@ -1,8 +1,10 @@
 // The sliding window that limits a tenant to its quota.
 //
-// It follows the sliding window counters of Šnuderl's "Rate limiting in API management". The remaining quota
-// of a slice is the burst, plus the rate times the slice's age, less the slice's total. docs/design.md lists
-// the differences from the thesis.
+// It follows the sliding window counters of Šnuderl's "Rate limiting in API management"; docs/design.md lists
+// the differences from the thesis. A tenant's window consists of the current slice and the preceding one. The
+// remaining quota of a slice is the burst, or the largest request cost if that is higher, plus the rate times
+// the slice's age, less the slice's total and the unused quota that has expired. The preceding slice affects
+// the current one only by the debt that it carries forward.
 #pragma once
 
 #include "decision/quota/slice_schedule.h"
@@ -35,11 +37,11 @@
     // admitted since, by this gateway and, as estimated, by the others.
     double estimatedTotal(const Tenant& tenant, const WindowSlice& slice, TimePoint now) const;
 
-    // Returns the remaining quota if the slice's total is `total`. Expired capacity is not included.
+    // Returns the remaining quota if the slice's total is `total`. Expired quota is not included.
     RemainingQuota remainingQuota(const Tenant& tenant, const WindowSlice& slice, double total,
                                   TimePoint now) const;
 
-    // Expires the unused capacity beyond the burst at `now` if the slice's total is `total`, so that an idle
+    // Expires the unused quota beyond the burst at `now` if the slice's total is `total`, so that an idle
     // slice does not accumulate more than its burst.
     void expireUnusedBurst(const Tenant& tenant, WindowSlice& slice, double total, TimePoint now);
 
--- a/src/decision/quota/window_slice.h
+++ b/src/decision/quota/window_slice.h
@@ -28,15 +28,17 @@
     RequestKey reader() const { return reader_; }
     // The charge of request().
     double charge() const { return charge_; }
-    // The cost that the call adds on the counter: charge(), plus the carried charge, less the carried refund.
+    // The cost that the call adds on the counter: charge(), plus the pending charge and less the pending
+    // refund that the slice had when the call began.
     double amount() const { return amount_; }
     // The decision on request(); pending if the request still waits for the reply.
     Admission admission() const { return admission_; }
-    // The part of the carried charge that was admitted without a reply.
+    // The part of that pending charge that was admitted without a reply.
     double carriedUnconfirmed() const { return carriedUnconfirmed_; }
     // carriedUnconfirmed() and, if request() was admitted before the reply, its cost.
     double unconfirmed() const { return unconfirmed_; }
-    // All cost posted under the slice's name by this gateway, up to and including this call.
+    // The slice's posted() immediately after this call began. Calls rolled back and counts reported lost
+    // since then are subtracted.
     double cumulativePosted() const { return cumulativePosted_; }
 
 private:
@@ -94,20 +96,21 @@
 
     // ---- Usage across all gateways ----
 
-    // The last reported total plus carried debt, less this gateway's refunds that the total does not include
-    // yet.
+    // The last reported total, plus the cost that the counter lost and the carried debt, less this gateway's
+    // refunds that the reported total does not include. Before the first report: the opening debt.
     double total() const { return total_; }
     // Whether the counter has reported a total.
     bool hasTotal() const { return hasTotal_; }
     // When the counter last reported a total.
     TimePoint totalReportedAt() const { return totalReportedAt_; }
-    // Cost that this gateway admitted and total() does not include yet.
+    // Cost that this gateway knows of and total() does not include yet: admitted cost, reconciliations and
+    // debt of the preceding slice, part of which may be estimated.
     double admittedSinceTotal() const { return admittedSinceTotal_; }
     // Estimated cost that the other gateways admitted and total() does not include yet.
     double remoteSinceTotal() const { return remoteSinceTotal_; }
     // All cost that this gateway admitted.
     double localAdmitted() const { return localAdmitted_; }
-    // Capacity beyond the burst that has expired unused.
+    // Unused quota beyond the burst that has expired.
     double expiredBurst() const { return expiredBurst_; }
 
     // Raises expiredBurst() to `cost` unless it is higher already. Has no effect before the first reported
@@ -153,8 +156,9 @@
 
     // ---- Requests ----
 
-    // Records that a request with that charge was admitted at `cost`. The cost becomes pending unless a call
-    // for the request or the calls for sampled requests post it.
+    // Records that a request with that charge was admitted at `cost`. The cost becomes pending,
+    // unless a call that is in flight or counted posts the request's charge, or the weighted charges of
+    // sampled requests cover it.
     void recordAdmitted(RequestKey request, const QuotaCharge& charge, double cost);
 
     // Adds cost that was admitted without a counter reply; negative amounts subtract it again.
@@ -180,7 +184,8 @@
     void dropPendingCharge() { pendingCharge_ = 0; }
     void weightPendingCharge(double probability) { pendingCharge_ /= probability; }
 
-    // Whether a timer is running that flushes the pending amounts.
+    // Whether the slice waits for a timer that flushes the pending amounts. A flush for another reason ends
+    // the wait, although the timer keeps running.
     bool isFlushScheduled() const { return isFlushScheduled_; }
     void setFlushScheduled(bool scheduled) { isFlushScheduled_ = scheduled; }
 
