--- a/src/decision/quota/ceiling_bucket.h
+++ b/src/decision/quota/ceiling_bucket.h
@@ -5,7 +5,9 @@
 // cost that the other gateways have posted. A request that is admitted without a reply consumes tokens of
 // this gateway's share of the difference between ceiling and quota; the tokens are refunded when a later
 // reply shows that the request was within the quota. However unevenly the tenant's requests are distributed,
-// all n gateways together therefore forward at most quota + n * (ceiling - quota) / n, which is the ceiling.
+// all n gateways at which they arrive therefore forward at most quota + n * (ceiling - quota) / n, which is
+// the ceiling. Bursts may exceed it, because each bucket holds at least the largest request cost. Without a
+// counter, the bucket gets this gateway's share of the whole ceiling, without that minimum.
 #pragma once
 
 #include "decision/quota/tenant.h"
--- a/src/decision/quota/counter_ledger.cpp
+++ b/src/decision/quota/counter_ledger.cpp
@@ -14,7 +14,8 @@
 constexpr double kMinLostBurstShare = 0.5;  // with reconciliation, as a share of the burst
 constexpr double kMinLostCost = 0.5;        // without reconciliation
 
-// A call opened its slice if the reported total exceeds its charge by at most this.
+// A call counts as the first of all gateways to its slice if this gateway has posted nothing else to the
+// slice and the reported total exceeds the call's charge by at most this.
 constexpr double kOpeningCostMargin = 0.5;
 
 // Whether the counter has counted a call, or most likely has. A congested counter still processes calls that
@@ -94,7 +95,8 @@
 }
 
 // A total below the cost that this gateway has posted shows that the counter lost counts. With
-// reconciliation, refunds by other gateways lower the total too, so the threshold is higher.
+// reconciliation, the threshold is higher: other gateways may post refunds for charges to earlier slices, so
+// that a total can be below this gateway's posted cost although no count was lost.
 double CounterLedger::lostCost(const QuotaPlan& plan, const CounterCall& call, double total) const {
     const double shortage = call.cumulativePosted() - total;
     const double minLost = settings_.reconciliationEnabled
@@ -103,8 +105,8 @@
     return shortage < minLost ? 0 : shortage;
 }
 
-// The request whose call opened a slice also waits for a read of the preceding, closed slice, so that one
-// gateway carries that slice's debt forward.
+// The request whose call was the first to a slice also waits for a read of the preceding, closed slice, so
+// that one gateway carries that slice's debt forward.
 void CounterLedger::readClosedSlice(EventContext& context, Tenant& tenant, const CounterCall& call,
                                     Request& request, const CounterReplied& reply) {
     WindowSlice* closed = findSlice(tenant, previousSlice(request.charge.sliceIndex));
@@ -199,8 +201,8 @@
         scheduleFlush(context, *tenant, *slice);
 }
 
-// With low local traffic, often no further call carries a reconciliation, so that each needs a call of its
-// own. During congestion that is too many calls.
+// With low local traffic, the pending charge, for example a reconciliation, often needs a flush because no
+// call for another request carries it. During congestion, only a sample of these charges is posted.
 bool CounterLedger::shouldSampleReconciliations(const Tenant& tenant, const WindowSlice& slice) const {
     return sampler_.isCongested() && slice.pendingRefund() == 0 && usage_.reliesOnMeter(tenant);
 }
--- a/src/decision/quota/counter_ledger.h
+++ b/src/decision/quota/counter_ledger.h
@@ -30,9 +30,9 @@
         RequestKey reader = RequestKey::none;          // the request that waited for the slice's total only
         bool ok = false;                               // the counter reported a total
         TenantId tenant{};
-        // Position of the slice in Tenant::slices when the reply arrived; empty if the slice is unknown. If
-        // the decisions on the requests open a new slice, scheduleFlushAfterReply() finds another slice at
-        // that position: see "Known faults" in docs/design.md.
+        // Position of the slice in Tenant::slices when the reply arrived; empty if the slice is unknown. The
+        // decisions on the requests may remove the oldest slice; the position then refers to another slice:
+        // see "Known faults" in docs/design.md.
         std::optional<std::size_t> slicePosition;
     };
 
@@ -62,8 +62,9 @@
     // Records the cost of an admitted request in the slice.
     void recordAdmitted(const Tenant& tenant, WindowSlice& slice, const Request& request);
 
-    // Refunds the charge of a rejected request without delay, because other gateways may read the slice's
-    // total soon. `slice` may be null.
+    // Refunds the charge of a rejected request, or of one whose client disconnected before the decision, if
+    // the charge was posted. Tries to post the refund at once, because other gateways may read the slice's
+    // total soon; see flush(). `slice` may be null.
     void refundRejected(EventContext& context, const Request& request, WindowSlice* slice);
 
     // Refunds the charge and the ceiling tokens of an admitted request that reached no endpoint.
@@ -73,8 +74,10 @@
     // refund. Does nothing if the tenant has changed to another plan since the request arrived.
     void reconcile(EventContext& context, Tenant& tenant, const Request& request, double difference);
 
-    // Posts the pending amounts of a slice. If the counter is congested, the flush may be rescheduled; if it
-    // is unavailable, the amounts stay pending until the next call for the slice.
+    // Posts the pending amounts of a slice. If the counter is congested, the flush may be rescheduled, and
+    // the pending charge of a tenant that relies on the usage meter may be sampled: dropped, or raised to
+    // cover dropped ones. If the counter is unavailable, the amounts stay pending until the next call for the
+    // slice.
     void flush(EventContext& context, const SliceKey& key);
 
 private:
--- a/src/decision/quota/counter_sampler.h
+++ b/src/decision/quota/counter_sampler.h
@@ -3,7 +3,8 @@
 //
 // Slow replies and failed calls indicate a congested counter; the sample rate then decreases until few calls
 // fail. Several failures in a row indicate an unavailable counter; a small share of the calls continues, to
-// detect its recovery. When the counter recovers, the sample rate resumes at half its earlier value.
+// detect its recovery. When the counter recovers, the sample rate is raised to half its value before
+// the failures, if it is lower.
 #pragma once
 
 #include "decision/common/random_source.h"
@@ -38,7 +39,7 @@
     // and no random number is drawn.
     bool shouldCallNow(RandomSource& random) const;
 
-    // Returns the probability with which a reconciliation that no other call would carry is posted to a
+    // Returns the probability with which a pending charge that no other call would carry is posted to a
     // congested counter.
     double reconciliationProbability() const;
 
--- a/src/decision/quota/quota_admission.cpp
+++ b/src/decision/quota/quota_admission.cpp
@@ -22,8 +22,9 @@
 
 constexpr double kRejectingReplySmoothing = 0.02;
 
-// Parameters of the probability of unconfirmed admissions: the exponent of its decrease beyond the limit of
-// the metered utilization, and the reduction of that limit if over-quota requests cost their full weight.
+// With a usage meter, a request of a tenant with low local traffic is admitted without a counter reply with
+// the probability min(1, limit / utilization) ^ kMeterExponent. The limit is 1 less kMeterMarginQuotaShare
+// times the net penalty of an over-quota request.
 constexpr double kMeterExponent = 4;
 constexpr double kMeterMarginQuotaShare = 0.25;
 
@@ -56,8 +57,9 @@
 }
 
 // Decides whether the request calls the counter, and sets its charge accordingly. A congested counter is
-// called for a sample of the requests only. If this gateway has already posted a charge to the slice, its
-// next call carries the cost of unsampled requests. Otherwise the weights of the sampled requests cover them.
+// called for a sample of the requests only. If this gateway has already posted a charge to the slice, or
+// the counter is unavailable, the next call for the slice carries the cost of unsampled requests. Otherwise
+// the weights of the sampled requests cover that cost.
 bool QuotaAdmission::sampleRequest(EventContext& context, Tenant& tenant, const WindowSlice& current,
                                    Request& request) {
     const double cost = request.arrival.cost;
@@ -74,8 +76,8 @@
     return sampled;
 }
 
-// A counter reply has the highest value for tenants that are close to their quota, and under plans whose
-// over-quota requests cost most.
+// A counter reply has the highest value for tenants that are close to their quota, and under plans with a
+// high price and a high penalty for over-quota requests.
 double QuotaAdmission::replyValue(const Tenant& tenant, const WindowSlice& slice, TimePoint now) const {
     const QuotaPlan& plan = usage_.planOf(tenant);
     const double utilization =
@@ -175,9 +177,9 @@
 
 // Returns the probability with which a request of a tenant with low local traffic is admitted without a
 // counter reply. The meter shows admitted requests only, so it reads 1 for any tenant that is limited to its
-// quota. The probability therefore starts to decrease at a utilization below 1; the more an over-quota
-// request costs, the lower this limit is. Without a meter, the probability decreases with the share of
-// replies that left no quota.
+// quota. The probability therefore starts to decrease at a utilization below 1; the higher the net
+// penalty of an over-quota request, the lower this limit is. Without a meter, the probability decreases with
+// the share of replies that left no quota.
 double QuotaAdmission::unconfirmedAdmissionProbability(const Tenant& tenant, const QuotaPlan& plan) const {
     const double netPenalty = std::clamp(plan.overQuotaPenalty - plan.overQuotaWeight, 0.0, 1.0);
     if (settings_.usageMeterPeriod <= Duration{})
--- a/src/decision/quota/quota_admission.h
+++ b/src/decision/quota/quota_admission.h
@@ -13,7 +13,8 @@
 
 namespace gateway {
 
-// Keeps the share of rejecting counter replies for each plan; its collaborators keep all other state.
+// Keeps the share of counter replies that left no quota, for each plan; its collaborators keep all other
+// state.
 class QuotaAdmission {
 public:
     // How a request proceeds after start().
@@ -25,7 +26,7 @@
 
     struct Decision {
         bool admitted = false;
-        Duration retryAfter{};  // if rejected: time until the tenant has quota for the request
+        Duration retryAfter{};  // if rejected: time until the tenant has quota for the request; 0 if it has
     };
 
     // All arguments must outlive this object.
--- a/src/decision/quota/tenant.h
+++ b/src/decision/quota/tenant.h
@@ -10,8 +10,8 @@
 
 namespace gateway {
 
-// The state of a token bucket: this gateway's share of the difference between a plan's ceiling and its quota.
-// CeilingBucket updates it.
+// The state of a token bucket: this gateway's share of the difference between a plan's ceiling and its quota,
+// or, without a counter, of the ceiling. CeilingBucket updates it.
 struct CeilingTokens {
     double tokens = 0;
     double share = 1;        // this gateway's share of the ceiling at the last refill
--- a/src/decision/quota/usage_estimator.cpp
+++ b/src/decision/quota/usage_estimator.cpp
@@ -39,7 +39,8 @@
 
 double UsageEstimator::estimatedRemoteUsage(const Tenant& tenant, double cost) const {
     const QuotaPlan& plan = planOf(tenant);
-    // The more an over-quota request earns beyond its penalty, the lower is the weight of the estimate.
+    // The more the value of an over-quota request exceeds its penalty, the lower is the weight of the
+    // estimate.
     const double netPenalty = plan.overQuotaPenalty - plan.overQuotaWeight;
     const double estimateWeight =
         settings_.counterEnabled ? std::clamp(1 + kNetPenaltyWeightFactor * netPenalty, 0.0, 1.0) : 1.0;
--- a/src/decision/quota/usage_estimator.h
+++ b/src/decision/quota/usage_estimator.h
@@ -25,7 +25,8 @@
     bool reliesOnMeter(const Tenant& tenant) const;
 
     // Returns the cost that the other gateways are estimated to admit while this one admits `cost` without a
-    // reply from the counter.
+    // reply from the counter. With a counter, the estimate is reduced, down to 0, if a request beyond the
+    // quota has a value above its penalty.
     double estimatedRemoteUsage(const Tenant& tenant, double cost) const;
 
 private:
