--- a/src/decision/quota/counter_ledger.cpp
+++ b/src/decision/quota/counter_ledger.cpp
@@ -127,7 +127,7 @@
 void CounterLedger::carryDebt(EventContext& context, Tenant& tenant, const WindowSlice& closed) {
     WindowSlice* next = findSlice(tenant, nextSlice(closed.index()));
     if (next == nullptr || next->hasCarriedDebt()) return;
-    const double total = closed.total() + window_.costSinceTotal(tenant, closed) + closed.expiredBurst();
+    const double total = closed.total() + window_.costSinceTotal(tenant, closed) + closed.expiredQuota();
     const double debt = QuotaWindow::debtOf(usage_.planOf(tenant), total);
     next->carryDebt(debt);
     if (debt > 0) post(context, tenant, *next, next->beginFlushCall());
--- a/src/decision/quota/quota_admission.cpp
+++ b/src/decision/quota/quota_admission.cpp
@@ -42,7 +42,7 @@
     request.charge.sliceIndex = current.index();
     request.charge.amount = cost;
     if (current.total() > 0) {
-        window_.expireCurrentSliceBurst(tenant, context.now);
+        window_.expireCurrentSliceQuota(tenant, context.now);
         // An immediate rejection posts no charge, so the totals that other gateways read don't include a
         // charge that is about to be refunded.
         if (!window_.remainingQuota(tenant, current, current.total(), context.now).covers(cost))
@@ -112,7 +112,7 @@
         return {.admitted = true};
     }
     ledger_.refundRejected(context, request, slice);
-    window_.expireCurrentSliceBurst(tenant, context.now);
+    window_.expireCurrentSliceQuota(tenant, context.now);
     return {.admitted = false,
             .retryAfter = window_.timeUntilQuota(tenant, request.arrival.cost, context.now)};
 }
@@ -151,7 +151,7 @@
     const QuotaCharge& charge = request.charge;
     const bool isInTotal = charge.confirmed && slice.index() == charge.sliceIndex;
     const double total = window_.estimatedTotal(tenant, slice, now) - (isInTotal ? charge.amount : 0);
-    window_.expireUnusedBurst(tenant, slice, total, now);
+    window_.expireUnusedQuota(tenant, slice, total, now);
     bool fits = window_.remainingQuota(tenant, slice, total, now).covers(request.arrival.cost);
     // The counter is not called for this request, so a recent rejection by a counter reply applies to it too.
     const Duration sliceLength = fromSeconds(sliceSeconds(usage_.planOf(tenant)));
--- a/src/decision/quota/quota_window.cpp
+++ b/src/decision/quota/quota_window.cpp
@@ -32,7 +32,7 @@
     if (tenant.slices.empty()) return WindowSlice(previousSlice(current));
     const QuotaPlan& plan = usage_.planOf(tenant);
     const WindowSlice& previous = tenant.slices.back();
-    const double known = previous.total() + previous.expiredBurst();
+    const double known = previous.total() + previous.expiredQuota();
     const double debt = debtOf(plan, known);
     const double estimatedDebt = debtOf(plan, known + costSinceTotal(tenant, previous));
     return WindowSlice(nextSlice(previous.index()), {.inTotal = debt, .sinceTotal = estimatedDebt - debt});
@@ -51,18 +51,18 @@
 
 RemainingQuota QuotaWindow::remainingQuota(const Tenant& tenant, const WindowSlice& slice, double total,
                                            TimePoint now) const {
-    return {unexpiredQuota(tenant, slice, total, now) - slice.expiredBurst()};
+    return {quotaBeforeExpiry(tenant, slice, total, now) - slice.expiredQuota()};
 }
 
-void QuotaWindow::expireUnusedBurst(const Tenant& tenant, WindowSlice& slice, double total, TimePoint now) {
-    const double unexpired = unexpiredQuota(tenant, slice, total, now);
-    slice.expireBurst(unexpired - maxBurst(usage_.planOf(tenant)));
+void QuotaWindow::expireUnusedQuota(const Tenant& tenant, WindowSlice& slice, double total, TimePoint now) {
+    const double quota = quotaBeforeExpiry(tenant, slice, total, now);
+    slice.expireQuota(quota - maxBurst(usage_.planOf(tenant)));
 }
 
-void QuotaWindow::expireCurrentSliceBurst(Tenant& tenant, TimePoint now) {
+void QuotaWindow::expireCurrentSliceQuota(Tenant& tenant, TimePoint now) {
     if (usage_.planOf(tenant).rate <= 0 || tenant.slices.empty()) return;
     WindowSlice& current = tenant.slices.back();
-    expireUnusedBurst(tenant, current, current.total(), now);
+    expireUnusedQuota(tenant, current, current.total(), now);
 }
 
 Duration QuotaWindow::timeUntilQuota(const Tenant& tenant, double cost, TimePoint now) const {
@@ -80,7 +80,7 @@
     // The quota of a closed slice stops growing at its end.
     const double quotaAtEnd = maxBurst(plan) + plan.rate * length;
     const double quota = std::min(quotaAtEnd, quotaAtEnd + plan.rate * (age - length));
-    return slice.total() <= quota - slice.expiredBurst();
+    return slice.total() <= quota - slice.expiredQuota();
 }
 
 double QuotaWindow::quotaUtilization(const Tenant& tenant, const WindowSlice& slice, TimePoint now) const {
@@ -105,8 +105,8 @@
     return std::max(plan.burst, settings_.maxRequestCost);
 }
 
-double QuotaWindow::unexpiredQuota(const Tenant& tenant, const WindowSlice& slice, double total,
-                                   TimePoint now) const {
+double QuotaWindow::quotaBeforeExpiry(const Tenant& tenant, const WindowSlice& slice, double total,
+                                      TimePoint now) const {
     const QuotaPlan& plan = usage_.planOf(tenant);
     return maxBurst(plan) + plan.rate * sliceAgeSeconds(tenant.id, plan, slice.index(), now) - total;
 }
--- a/src/decision/quota/quota_window.h
+++ b/src/decision/quota/quota_window.h
@@ -43,11 +43,11 @@
 
     // Expires the unused quota beyond the burst at `now` if the slice's total is `total`, so that an idle
     // slice does not accumulate more than its burst.
-    void expireUnusedBurst(const Tenant& tenant, WindowSlice& slice, double total, TimePoint now);
+    void expireUnusedQuota(const Tenant& tenant, WindowSlice& slice, double total, TimePoint now);
 
-    // Calls expireUnusedBurst() for the current slice and its last known total. Does nothing for a tenant
+    // Calls expireUnusedQuota() for the current slice and its last known total. Does nothing for a tenant
     // without slices or a plan without a rate.
-    void expireCurrentSliceBurst(Tenant& tenant, TimePoint now);
+    void expireCurrentSliceQuota(Tenant& tenant, TimePoint now);
 
     // Returns the time until the last known total of the current slice leaves quota for `cost`; 0 if it
     // leaves enough now, if the tenant has no slices or if its plan has no rate.
@@ -71,7 +71,8 @@
 private:
     WindowSlice makeNextSlice(const Tenant& tenant, SliceIndex current) const;
     double maxBurst(const QuotaPlan& plan) const;
-    double unexpiredQuota(const Tenant& tenant, const WindowSlice& slice, double total, TimePoint now) const;
+    double quotaBeforeExpiry(const Tenant& tenant, const WindowSlice& slice, double total,
+                             TimePoint now) const;
 
     const Settings& settings_;
     const UsageEstimator& usage_;
--- a/src/decision/quota/window_slice.cpp
+++ b/src/decision/quota/window_slice.cpp
@@ -5,8 +5,8 @@
 
 namespace gateway {
 
-void WindowSlice::expireBurst(double cost) {
-    if (hasTotal_) expiredBurst_ = std::max(expiredBurst_, cost);
+void WindowSlice::expireQuota(double cost) {
+    if (hasTotal_) expiredQuota_ = std::max(expiredQuota_, cost);
 }
 
 const CounterCall& WindowSlice::beginChargeCall(RequestKey request, double charge) {
--- a/src/decision/quota/window_slice.h
+++ b/src/decision/quota/window_slice.h
@@ -111,11 +111,11 @@
     // All cost that this gateway admitted.
     double localAdmitted() const { return localAdmitted_; }
     // Unused quota beyond the burst that has expired.
-    double expiredBurst() const { return expiredBurst_; }
+    double expiredQuota() const { return expiredQuota_; }
 
-    // Raises expiredBurst() to `cost` unless it is higher already. Has no effect before the first reported
+    // Raises expiredQuota() to `cost` unless it is higher already. Has no effect before the first reported
     // total.
-    void expireBurst(double cost);
+    void expireQuota(double cost);
 
     // ---- Posted and pending amounts ----
 
@@ -200,7 +200,7 @@
     double remoteSinceTotal_ = 0;
     TimePoint totalReportedAt_{};
     double localAdmitted_ = 0;
-    double expiredBurst_ = 0;
+    double expiredQuota_ = 0;
     bool hasTotal_ = false;
     bool hasCarriedDebt_ = false;
     bool hasChargeCalls_ = false;
--- a/tests/decision/quota/quota_window_test.cpp
+++ b/tests/decision/quota/quota_window_test.cpp
@@ -144,18 +144,18 @@
     window.quotaUtilization(tenant, current(), kNow);
     window.isWithinQuota(tenant, current(), kNow);
     EXPECT_EQ(remaining(0), before);
-    EXPECT_EQ(current().expiredBurst(), 0);
+    EXPECT_EQ(current().expiredQuota(), 0);
 }
 
-TEST_F(QuotaWindowQueryTest, ExpiresUnusedCapacityBeyondTheBurst) {
+TEST_F(QuotaWindowQueryTest, ExpiresUnusedQuotaBeyondTheBurst) {
     EXPECT_GT(remaining(0), 8);
-    window.expireCurrentSliceBurst(tenant, kNow);
+    window.expireCurrentSliceQuota(tenant, kNow);
     EXPECT_DOUBLE_EQ(remaining(0), 8);
     EXPECT_DOUBLE_EQ(remaining(3), 5);
 }
 
 TEST_F(QuotaWindowQueryTest, TimeUntilQuotaIsTheMissingCostDividedByTheRate) {
-    window.expireCurrentSliceBurst(tenant, kNow);
+    window.expireCurrentSliceQuota(tenant, kNow);
     EXPECT_EQ(window.timeUntilQuota(tenant, 8, kNow), Duration::zero());
     EXPECT_EQ(window.timeUntilQuota(tenant, 10, kNow), milliseconds(1000));
 }
--- a/tests/decision/quota/window_slice_test.cpp
+++ b/tests/decision/quota/window_slice_test.cpp
@@ -200,14 +200,14 @@
     EXPECT_FALSE(slice.hasPendingAmounts());
 }
 
-TEST_F(WindowSliceTest, BurstExpiresOnlyAfterATotalAndNeverReturns) {
-    slice.expireBurst(4);
-    EXPECT_EQ(slice.expiredBurst(), 0);
+TEST_F(WindowSliceTest, QuotaExpiresOnlyAfterATotalAndNeverReturns) {
+    slice.expireQuota(4);
+    EXPECT_EQ(slice.expiredQuota(), 0);
     slice.beginFlushCall();
     slice.applyTotal(slice.endOldestCall(), reportedTotal(0));
-    slice.expireBurst(4);
-    slice.expireBurst(2);
-    EXPECT_EQ(slice.expiredBurst(), 4);
+    slice.expireQuota(4);
+    slice.expireQuota(2);
+    EXPECT_EQ(slice.expiredQuota(), 4);
 }
 
 TEST_F(WindowSliceTest, UnconfirmedCostIsCarriedByTheNextCall) {
