--- a/src/decision/quota/counter_sampler.cpp
+++ b/src/decision/quota/counter_sampler.cpp
@@ -9,11 +9,11 @@
 namespace {
 
 constexpr double kMinSampleRate = 0.1;  // the remaining calls detect the counter's recovery
-constexpr double kRateIncreasePerReply = 0.01;
-constexpr double kRateIncreasePerIdleSecond = 0.05;
+constexpr double kSampleRateIncreasePerReply = 0.01;
+constexpr double kSampleRateIncreasePerIdleSecond = 0.05;
 constexpr Duration kMaxIdle = std::chrono::seconds(2);
-constexpr double kFailureRateMultiplier = 0.75;
-constexpr double kSlowReplyRateMultiplier = 0.97;
+constexpr double kSampleRateMultiplierOnFailure = 0.75;
+constexpr double kSampleRateMultiplierOnSlowReply = 0.97;
 constexpr double kSlowReplyShare = 0.3;  // of the interval from the quickest reply's time to the timeout
 constexpr int kUnavailableFailures = 4;  // in a row
 constexpr double kReplyValueSmoothing = 0.02;
@@ -36,7 +36,8 @@
     const bool indicatesCongestion =
         reply.outcome != Outcome::reset || consecutiveFailures_ + 1 >= kUnavailableFailures;
     recordFailure();
-    if (indicatesCongestion) sampleRate_ = std::max(kMinSampleRate, sampleRate_ * kFailureRateMultiplier);
+    if (indicatesCongestion)
+        sampleRate_ = std::max(kMinSampleRate, sampleRate_ * kSampleRateMultiplierOnFailure);
 }
 
 void CounterSampler::recordFailure() {
@@ -51,12 +52,12 @@
     consecutiveFailures_ = 0;
     const bool isSlow = timeoutShare > quickestReplyShare_ + (1 - quickestReplyShare_) * kSlowReplyShare;
     if (isSlow) {
-        sampleRate_ = std::max(kMinSampleRate, sampleRate_ * kSlowReplyRateMultiplier);
+        sampleRate_ = std::max(kMinSampleRate, sampleRate_ * kSampleRateMultiplierOnSlowReply);
         return;
     }
     const double idleSeconds = toSeconds(std::min(idle, kMaxIdle));
-    sampleRate_ =
-        std::min(1.0, sampleRate_ + kRateIncreasePerReply + kRateIncreasePerIdleSecond * idleSeconds);
+    sampleRate_ = std::min(
+        1.0, sampleRate_ + kSampleRateIncreasePerReply + kSampleRateIncreasePerIdleSecond * idleSeconds);
 }
 
 bool CounterSampler::isUnavailable() const {
