--- a/src/decision/quota/usage_estimator.cpp
+++ b/src/decision/quota/usage_estimator.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr double kLowLocalTrafficShare = 0.1;
-constexpr double kNetPenaltyWeightFactor = 5;
+constexpr double kEstimateWeightPerNetPenalty = 5;
 constexpr double kMinTrafficMultiplier = 0.5;  // of an even share among the tenant's entry points
 
 }  // namespace
@@ -43,7 +43,7 @@
     // estimate.
     const double netPenalty = plan.overQuotaPenalty - plan.overQuotaWeight;
     const double estimateWeight =
-        settings_.counterEnabled ? std::clamp(1 + kNetPenaltyWeightFactor * netPenalty, 0.0, 1.0) : 1.0;
+        settings_.counterEnabled ? std::clamp(1 + kEstimateWeightPerNetPenalty * netPenalty, 0.0, 1.0) : 1.0;
     return cost * (1 / trafficShare(tenant) - 1) * estimateWeight;
 }
 
