--- a/src/decision/quota/quota_admission.cpp
+++ b/src/decision/quota/quota_admission.cpp
@@ -20,7 +20,7 @@
 constexpr double kMaxSampleWeight = 2;
 constexpr double kMaxLowTrafficSampleWeight = 8;
 
-constexpr double kRejectingReplySmoothing = 0.02;
+constexpr double kExhaustedReplySmoothing = 0.02;
 
 // With a usage meter, a request of a tenant with low local traffic is admitted without a counter reply with
 // the probability min(1, limit / utilization) ^ kMeterExponent. The limit is 1 less kMeterMarginQuotaShare
@@ -63,15 +63,15 @@
 bool QuotaAdmission::sampleRequest(EventContext& context, Tenant& tenant, const WindowSlice& current,
                                    Request& request) {
     const double cost = request.arrival.cost;
-    const bool isWeighted = !current.hasChargeCalls() && !sampler_.isUnavailable();
+    const bool usesSampleWeights = !current.hasChargeCalls() && !sampler_.isUnavailable();
     tenant.usage.recordDemand(cost, usage_.planOf(tenant), context.now);
     const double value = replyValue(tenant, current, context.now);
     sampler_.recordReplyValue(value);
     const double probability = sampler_.sampleProbability(value);
     const bool sampled = probability >= 1 || context.random.next() < probability;
     if (!sampled)
-        request.charge.coveredBySamples = isWeighted;
-    else if (isWeighted)
+        request.charge.coveredBySamples = usesSampleWeights;
+    else if (usesSampleWeights)
         request.charge.amount = cost * std::min(maxSampleWeight(tenant), 1 / probability);
     return sampled;
 }
@@ -164,8 +164,8 @@
                                           TimePoint now) {
     if (charge.confirmed) {
         tenant.exhaustedAt = fits ? TimePoint{} : now;
-        double& rejectingShare = rejectingReplyShares_[toPosition(tenant.plan)];
-        rejectingShare = movingAverage(rejectingShare, fits ? 0 : 1, kRejectingReplySmoothing);
+        double& exhaustedShare = exhaustedReplyShares_[toPosition(tenant.plan)];
+        exhaustedShare = movingAverage(exhaustedShare, fits ? 0 : 1, kExhaustedReplySmoothing);
     }
     if (tenant.exhaustedAt == now) tenant.usage.recordExhausted();
 }
@@ -183,7 +183,7 @@
 double QuotaAdmission::unconfirmedAdmissionProbability(const Tenant& tenant, const QuotaPlan& plan) const {
     const double netPenalty = std::clamp(plan.overQuotaPenalty - plan.overQuotaWeight, 0.0, 1.0);
     if (settings_.usageMeterPeriod <= Duration{})
-        return 1 - rejectingReplyShares_[toPosition(tenant.plan)] * netPenalty;
+        return 1 - exhaustedReplyShares_[toPosition(tenant.plan)] * netPenalty;
     const double maxUtilization = 1 - kMeterMarginQuotaShare * netPenalty;
     const double utilization = std::max(tenant.usage.meteredUtilization(), kMinUtilization);
     return std::pow(std::min(1.0, maxUtilization / utilization), kMeterExponent);
--- a/src/decision/quota/quota_admission.h
+++ b/src/decision/quota/quota_admission.h
@@ -40,7 +40,7 @@
           sampler_(sampler),
           tenants_(tenants),
           ledger_(ledger),
-          rejectingReplyShares_(settings.plans.size(), 0) {}
+          exhaustedReplyShares_(settings.plans.size(), 0) {}
 
     // Charges an arrived request, or rejects it if the last known total leaves no quota for it.
     // Precondition: its class and its plan are in the settings.
@@ -74,7 +74,7 @@
     TenantTable& tenants_;
     CounterLedger& ledger_;
     // For each plan: moving average of the share of counter replies that left no quota for their request.
-    std::vector<double> rejectingReplyShares_;
+    std::vector<double> exhaustedReplyShares_;
 };
 
 }  // namespace gateway
