--- a/src/decision/quota/counter_ledger.cpp
+++ b/src/decision/quota/counter_ledger.cpp
@@ -16,7 +16,7 @@
 
 // A call counts as the first of all gateways to its slice if this gateway has posted nothing else to the
 // slice and the reported total exceeds the call's charge by at most this.
-constexpr double kOpeningCostMargin = 0.5;
+constexpr double kFirstCallMargin = 0.5;
 
 // Whether the counter has counted a call, or most likely has. A congested counter still processes calls that
 // have timed out, and posting such a call again could exhaust the tenant's quota. If the call was lost after
@@ -111,9 +111,9 @@
                                     Request& request, const CounterReplied& reply) {
     WindowSlice* closed = findSlice(tenant, previousSlice(request.charge.sliceIndex));
     if (closed == nullptr || !shouldReadClosedSlice(tenant, *closed, context.now)) return;
-    const bool openedSlice =
-        call.cumulativePosted() == call.charge() && reply.total <= call.charge() + kOpeningCostMargin;
-    if (!openedSlice) return;
+    const bool isFirstCallToSlice =
+        call.cumulativePosted() == call.charge() && reply.total <= call.charge() + kFirstCallMargin;
+    if (!isFirstCallToSlice) return;
     post(context, tenant, *closed, closed->beginReadCall(request.key));
     ++request.charge.pendingReplies;
 }
@@ -190,7 +190,7 @@
     slice->setFlushScheduled(false);
     // While the counter is unavailable, the amounts stay pending until the next call for the slice.
     if (!slice->hasPendingAmounts() || sampler_.isUnavailable()) return;
-    if (shouldSampleReconciliations(*tenant, *slice)) {
+    if (shouldSamplePendingCharge(*tenant, *slice)) {
         const bool sampled = samplePendingCharge(context, *slice);
         if (!sampled) return;
     }
@@ -203,7 +203,7 @@
 
 // With low local traffic, the pending charge, for example a reconciliation, often needs a flush because no
 // call for another request carries it. During congestion, only a sample of these charges is posted.
-bool CounterLedger::shouldSampleReconciliations(const Tenant& tenant, const WindowSlice& slice) const {
+bool CounterLedger::shouldSamplePendingCharge(const Tenant& tenant, const WindowSlice& slice) const {
     return sampler_.isCongested() && slice.pendingRefund() == 0 && usage_.reliesOnMeter(tenant);
 }
 
--- a/src/decision/quota/counter_ledger.h
+++ b/src/decision/quota/counter_ledger.h
@@ -90,7 +90,7 @@
     void carryDebt(EventContext& context, Tenant& tenant, const WindowSlice& closed);
     UnconfirmedCost unconfirmedCost(const Tenant& tenant, double cost) const;
     void scheduleFlush(EventContext& context, const Tenant& tenant, WindowSlice& slice);
-    bool shouldSampleReconciliations(const Tenant& tenant, const WindowSlice& slice) const;
+    bool shouldSamplePendingCharge(const Tenant& tenant, const WindowSlice& slice) const;
     bool samplePendingCharge(EventContext& context, WindowSlice& slice);
 
     const Settings& settings_;
