--- a/src/decision/quota/counter_ledger.cpp
+++ b/src/decision/quota/counter_ledger.cpp
@@ -28,10 +28,10 @@
 // Records the outcome of the call that posted the request's charge.
 void recordChargeReply(Request& request, Outcome outcome) {
     QuotaCharge& charge = request.charge;
-    charge.posted = isLikelyCounted(outcome);
+    charge.counted = isLikelyCounted(outcome);
     charge.confirmed = outcome == Outcome::ok;
     // A call that was not counted covers no unsampled requests, so the sample weight no longer applies.
-    if (!charge.posted) charge.amount = request.arrival.cost;
+    if (!charge.counted) charge.amount = request.arrival.cost;
 }
 
 }  // namespace
--- a/src/decision/quota/quota_charge.h
+++ b/src/decision/quota/quota_charge.h
@@ -10,7 +10,7 @@
 struct QuotaCharge {
     SliceIndex sliceIndex{};             // the slice that is charged
     double amount = 0;                   // cost to post: the request's cost times its sample weight
-    bool posted = false;                 // the counter includes the charge, or is assumed to
+    bool counted = false;                // the counter includes the charge, or is assumed to
     bool confirmed = false;              // the counter replied with a total that includes the charge
     bool coveredBySamples = false;       // not sampled: the sample weights of other requests cover its cost
     bool consumedCeilingTokens = false;  // refunded if the request reaches no endpoint
--- a/src/decision/quota/window_slice.cpp
+++ b/src/decision/quota/window_slice.cpp
@@ -93,7 +93,7 @@
         if (!charge.confirmed) call->unconfirmed_ += cost;
         return;
     }
-    if (charge.posted || charge.coveredBySamples) return;
+    if (charge.counted || charge.coveredBySamples) return;
     pendingCharge_ += cost;
     if (!charge.confirmed) pendingUnconfirmed_ += cost;
 }
@@ -106,7 +106,7 @@
 bool WindowSlice::refundRejected(RequestKey request, const QuotaCharge& charge) {
     CounterCall* call = findCall(request);
     if (call != nullptr) call->admission_ = Admission::rejected;
-    if (call == nullptr && !charge.posted) return false;
+    if (call == nullptr && !charge.counted) return false;
     addRefund(charge);
     return true;
 }
@@ -114,7 +114,7 @@
 void WindowSlice::refundAdmitted(const QuotaCharge& charge, double cost) {
     localAdmitted_ -= cost;
     addRefund(charge);
-    if (!charge.confirmed && !charge.posted) pendingUnconfirmed_ = std::max(0.0, pendingUnconfirmed_ - cost);
+    if (!charge.confirmed && !charge.counted) pendingUnconfirmed_ = std::max(0.0, pendingUnconfirmed_ - cost);
 }
 
 void WindowSlice::addRefund(const QuotaCharge& charge) {
--- a/tests/decision/quota/window_slice_test.cpp
+++ b/tests/decision/quota/window_slice_test.cpp
@@ -13,15 +13,15 @@
 constexpr RequestKey kSecond{2};
 constexpr TimePoint kNow{std::chrono::seconds(9)};
 
-QuotaCharge unpostedCharge(double amount) {
+QuotaCharge uncountedCharge(double amount) {
     QuotaCharge charge;
     charge.amount = amount;
     return charge;
 }
 
 QuotaCharge confirmedCharge(double amount) {
-    QuotaCharge charge = unpostedCharge(amount);
-    charge.posted = true;
+    QuotaCharge charge = uncountedCharge(amount);
+    charge.counted = true;
     charge.confirmed = true;
     return charge;
 }
@@ -44,7 +44,7 @@
     // Adds cost to the pending charge by a request that was admitted without a call, and to the pending
     // refund by a request that reached no endpoint.
     void addPendingCharge(double cost) { slice.recordAdmitted(RequestKey::none, confirmedUnposted(), cost); }
-    void addPendingRefund(double cost) { slice.refundAdmitted(unpostedCharge(cost), cost); }
+    void addPendingRefund(double cost) { slice.refundAdmitted(uncountedCharge(cost), cost); }
 
     WindowSlice slice{SliceIndex{7}};
 
@@ -71,7 +71,7 @@
     addPendingCharge(3);
     slice.beginChargeCall(kFirst, 5);
     slice.beginChargeCall(kSecond, 7);
-    slice.recordAdmitted(kFirst, unpostedCharge(5), 5);
+    slice.recordAdmitted(kFirst, uncountedCharge(5), 5);
     slice.rollBack(slice.endOldestCall());
     EXPECT_EQ(slice.pendingCharge(), 3 + 5);
     EXPECT_EQ(slice.posted(), 7);
@@ -81,7 +81,7 @@
 
 TEST_F(WindowSliceTest, UncountedRejectedChargeNeedsNoRefund) {
     slice.beginChargeCall(kFirst, 5);
-    ASSERT_TRUE(slice.refundRejected(kFirst, unpostedCharge(5)));
+    ASSERT_TRUE(slice.refundRejected(kFirst, uncountedCharge(5)));
     slice.rollBack(slice.endOldestCall());
     EXPECT_EQ(slice.pendingRefund(), 0);
     EXPECT_EQ(slice.refunds(), 0);
@@ -91,8 +91,8 @@
 TEST_F(WindowSliceTest, TotalExcludesLocalRefundsAndKeepsCostAdmittedSince) {
     slice.beginChargeCall(kFirst, 5);
     slice.beginChargeCall(kSecond, 7);
-    slice.recordAdmitted(kSecond, unpostedCharge(7), 7);
-    slice.refundRejected(kFirst, unpostedCharge(5));
+    slice.recordAdmitted(kSecond, uncountedCharge(7), 7);
+    slice.refundRejected(kFirst, uncountedCharge(5));
     addPendingCharge(1);
     slice.applyTotal(slice.endOldestCall(), reportedTotal(40));
     EXPECT_EQ(slice.total(), 40 - 5);
@@ -104,7 +104,7 @@
 
 TEST_F(WindowSliceTest, RefundsNoChargeThatNoCallHasPosted) {
     slice.beginChargeCall(kFirst, 5);
-    EXPECT_FALSE(slice.refundRejected(kSecond, unpostedCharge(5)));
+    EXPECT_FALSE(slice.refundRejected(kSecond, uncountedCharge(5)));
     EXPECT_FALSE(slice.hasPendingAmounts());
     EXPECT_EQ(slice.endOldestCall().admission(), Admission::pending);
     expectInvariants();
@@ -155,7 +155,7 @@
 
 TEST_F(WindowSliceTest, AdmittedChargeStaysInTheBalanceWhenItsCallIsRolledBack) {
     slice.beginChargeCall(kFirst, 5);
-    slice.recordAdmitted(kFirst, unpostedCharge(5), 5);
+    slice.recordAdmitted(kFirst, uncountedCharge(5), 5);
     EXPECT_EQ(balance(), 5);
     slice.rollBack(slice.endOldestCall());
     EXPECT_EQ(balance(), 5);
@@ -211,7 +211,7 @@
 }
 
 TEST_F(WindowSliceTest, UnconfirmedCostIsCarriedByTheNextCall) {
-    slice.recordAdmitted(kFirst, unpostedCharge(5), 5);
+    slice.recordAdmitted(kFirst, uncountedCharge(5), 5);
     slice.addUnconfirmed({.local = 5, .estimatedRemote = 15});
     EXPECT_EQ(slice.admittedSinceTotal(), 5);
     EXPECT_EQ(slice.remoteSinceTotal(), 15);
@@ -223,7 +223,7 @@
 
 struct CoveredChargeCase {
     const char* label;
-    bool posted;
+    bool counted;
     bool coveredBySamples;
 
     friend std::ostream& operator<<(std::ostream& out, const CoveredChargeCase& row) {
@@ -240,7 +240,7 @@
 TEST_P(CoveredChargeTest, IsAdmittedWithoutBecomingPending) {
     WindowSlice slice(SliceIndex{7});
     QuotaCharge charge;
-    charge.posted = GetParam().posted;
+    charge.counted = GetParam().counted;
     charge.coveredBySamples = GetParam().coveredBySamples;
     slice.recordAdmitted(kFirst, charge, 5);
     EXPECT_EQ(slice.localAdmitted(), 5);
@@ -248,7 +248,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Charges, CoveredChargeTest,
-                         testing::Values(CoveredChargeCase{"Posted", true, false},
+                         testing::Values(CoveredChargeCase{"Counted", true, false},
                                          CoveredChargeCase{"CoveredBySamples", false, true}),
                          labelOf);
 
