--- a/src/decision/quota/counter_sampler.cpp
+++ b/src/decision/quota/counter_sampler.cpp
@@ -16,12 +16,12 @@
 constexpr double kSampleRateMultiplierOnSlowReply = 0.97;
 constexpr double kSlowReplyShare = 0.3;  // of the interval from the quickest reply's time to the timeout
 constexpr int kUnavailableFailures = 4;  // in a row
-constexpr double kReplyValueSmoothing = 0.02;
+constexpr double kReplyBenefitSmoothing = 0.02;
 constexpr double kMinReconciliationProbability = 0.25;
 constexpr double kMinProbabilityExponent = 0.2;
 constexpr double kMaxProbabilityExponent = 4.0;
-constexpr double kMinReplyValue = 1e-9;  // avoids a division by zero
-constexpr Duration kMinTimeout{1};       // avoids a division by zero
+constexpr double kMinReplyBenefit = 1e-9;  // avoids a division by zero
+constexpr Duration kMinTimeout{1};         // avoids a division by zero
 
 }  // namespace
 
@@ -64,14 +64,15 @@
     return consecutiveFailures_ >= kUnavailableFailures;
 }
 
-void CounterSampler::recordReplyValue(double replyValue) {
-    const bool isFirst = meanReplyValue_ <= 0;
-    meanReplyValue_ = isFirst ? replyValue : movingAverage(meanReplyValue_, replyValue, kReplyValueSmoothing);
+void CounterSampler::recordReplyBenefit(double replyBenefit) {
+    const bool isFirst = meanReplyBenefit_ <= 0;
+    meanReplyBenefit_ =
+        isFirst ? replyBenefit : movingAverage(meanReplyBenefit_, replyBenefit, kReplyBenefitSmoothing);
 }
 
-double CounterSampler::sampleProbability(double replyValue) const {
+double CounterSampler::sampleProbability(double replyBenefit) const {
     if (!isCongested()) return 1;
-    const double exponent = meanReplyValue_ / std::max(replyValue, kMinReplyValue);
+    const double exponent = meanReplyBenefit_ / std::max(replyBenefit, kMinReplyBenefit);
     return std::pow(sampleRate_, std::clamp(exponent, kMinProbabilityExponent, kMaxProbabilityExponent));
 }
 
--- a/src/decision/quota/counter_sampler.h
+++ b/src/decision/quota/counter_sampler.h
@@ -26,14 +26,14 @@
     // Whether fewer calls than one per request are made.
     bool isCongested() const { return sampleRate_ < 1; }
 
-    // Adds the value that a counter reply would have for a request to the moving average of these values.
-    // `replyValue` is above 0; its unit is arbitrary.
-    void recordReplyValue(double replyValue);
+    // Records how much a counter reply would improve the admission decision on a request, for the mean of
+    // this benefit over the requests. `replyBenefit` is above 0; its unit is arbitrary.
+    void recordReplyBenefit(double replyBenefit);
 
-    // Returns the probability with which a request calls the counter, given the value of the reply. During
-    // congestion it is higher for replies of higher value; its mean over all requests stays near the sample
-    // rate. Precondition: recordReplyValue() was called.
-    double sampleProbability(double replyValue) const;
+    // Returns the probability with which a request calls the counter, given the benefit of the reply. During
+    // congestion it is higher for replies of higher benefit; its mean over all requests stays near the sample
+    // rate. Precondition: recordReplyBenefit() was called.
+    double sampleProbability(double replyBenefit) const;
 
     // Returns whether to make a postponable call now. During congestion this is random; otherwise it is true
     // and no random number is drawn.
@@ -51,7 +51,7 @@
     double sampleRate_ = 1;  // mean share of the requests that call the counter
     double sampleRateBeforeFailures_ = 1;
     double quickestReplyShare_ = 1;  // time of the quickest reply, as a share of the timeout
-    double meanReplyValue_ = 0;
+    double meanReplyBenefit_ = 0;
     int consecutiveFailures_ = 0;
     TimePoint lastCallEndedAt_{};
 };
--- a/src/decision/quota/quota_admission.cpp
+++ b/src/decision/quota/quota_admission.cpp
@@ -8,12 +8,12 @@
 namespace gateway {
 namespace {
 
-// Lower bounds of the factors of a reply's value.
+// Lower bounds of the factors of the benefit of a reply.
 constexpr double kMinReplyUtilization = 0.1;
 constexpr double kMinReplyAgeShare = 0.1;
 constexpr double kMinReplyPenalty = 0.1;
 
-// Age at which the last reported total is no longer fresh. While it is fresh, another reply has less value.
+// Age at which the last reported total is no longer fresh. While it is fresh, another reply has less benefit.
 constexpr double kFreshReplySliceShare = 0.1;
 
 // Upper bounds of the sample weight, which includes the sampled request itself.
@@ -65,9 +65,9 @@
     const double cost = request.arrival.cost;
     const bool usesSampleWeights = !current.hasChargeCalls() && !sampler_.isUnavailable();
     tenant.usage.recordDemand(cost, usage_.planOf(tenant), context.now);
-    const double value = replyValue(tenant, current, context.now);
-    sampler_.recordReplyValue(value);
-    const double probability = sampler_.sampleProbability(value);
+    const double benefit = replyBenefit(tenant, current, context.now);
+    sampler_.recordReplyBenefit(benefit);
+    const double probability = sampler_.sampleProbability(benefit);
     const bool sampled = probability >= 1 || context.random.next() < probability;
     if (!sampled)
         request.charge.coveredBySamples = usesSampleWeights;
@@ -76,9 +76,9 @@
     return sampled;
 }
 
-// A counter reply has the highest value for tenants that are close to their quota, and under plans with a
+// A counter reply has the highest benefit for tenants that are close to their quota, and under plans with a
 // high price and a high penalty for over-quota requests.
-double QuotaAdmission::replyValue(const Tenant& tenant, const WindowSlice& slice, TimePoint now) const {
+double QuotaAdmission::replyBenefit(const Tenant& tenant, const WindowSlice& slice, TimePoint now) const {
     const QuotaPlan& plan = usage_.planOf(tenant);
     const double utilization =
         std::clamp(window_.quotaUtilization(tenant, slice, now), kMinReplyUtilization, 1.0);
--- a/src/decision/quota/quota_admission.h
+++ b/src/decision/quota/quota_admission.h
@@ -63,7 +63,7 @@
     void recordWindowDecision(Tenant& tenant, const QuotaCharge& charge, bool fits, TimePoint now);
     bool isWithinConcurrencyLimit(const Tenant& tenant, const QuotaPlan& plan) const;
     double unconfirmedAdmissionProbability(const Tenant& tenant, const QuotaPlan& plan) const;
-    double replyValue(const Tenant& tenant, const WindowSlice& slice, TimePoint now) const;
+    double replyBenefit(const Tenant& tenant, const WindowSlice& slice, TimePoint now) const;
     double maxSampleWeight(const Tenant& tenant) const;
 
     const Settings& settings_;
--- a/tests/decision/quota/counter_sampler_test.cpp
+++ b/tests/decision/quota/counter_sampler_test.cpp
@@ -127,7 +127,7 @@
     RandomSource random(7);
     RandomSource unusedRandom(7);
     record(Outcome::ok, 10);
-    sampler.recordReplyValue(1);
+    sampler.recordReplyBenefit(1);
     EXPECT_FALSE(sampler.isCongested());
     EXPECT_EQ(sampler.sampleProbability(1), 1);
     EXPECT_TRUE(sampler.shouldCallNow(random));
@@ -165,14 +165,14 @@
 
 TEST_F(CounterSampleRateTest, NeverStopsCallingAFailingCounter) {
     record(Outcome::timedOut, 1000);
-    sampler.recordReplyValue(1);
+    sampler.recordReplyBenefit(1);
     EXPECT_NEAR(sampler.sampleProbability(1), 0.1, 1e-9);
     EXPECT_NEAR(sampler.reconciliationProbability(), 0.25, 1e-9);
 }
 
-TEST_F(CounterSampleRateTest, PrefersRepliesOfHighValue) {
+TEST_F(CounterSampleRateTest, PrefersRepliesOfHighBenefit) {
     record(Outcome::rejected, 2);
-    sampler.recordReplyValue(1);
+    sampler.recordReplyBenefit(1);
     EXPECT_GT(sampler.sampleProbability(2), sampler.sampleProbability(1));
     EXPECT_LT(sampler.sampleProbability(0.5), sampler.sampleProbability(1));
 }
