--- a/src/decision/quota/counter_ledger.cpp
+++ b/src/decision/quota/counter_ledger.cpp
@@ -47,7 +47,7 @@
 void CounterLedger::post(EventContext& context, const Tenant& tenant, const WindowSlice& slice,
                          const CounterCall& call) {
     context.emit(AddToCounter{formatSliceKey({tenant.id, slice.index()}), call.amount(),
-                              counterNameLifetime(usage_.planOf(tenant))});
+                              counterNameLifetime(estimator_.planOf(tenant))});
 }
 
 CounterLedger::ReplyResult CounterLedger::onReply(EventContext& context, const CounterReplied& reply) {
@@ -84,10 +84,10 @@
 
 void CounterLedger::applyTotal(Tenant& tenant, WindowSlice& slice, const CounterCall& call, double total,
                                TimePoint now) {
-    const QuotaPlan& plan = usage_.planOf(tenant);
+    const QuotaPlan& plan = estimator_.planOf(tenant);
     const double lost = lostCost(plan, call, total);
     // The other gateways are assumed to have admitted cost without posting it, as this gateway has.
-    const double remote = usage_.estimatedRemoteUsage(tenant, call.carriedUnconfirmed());
+    const double remote = estimator_.estimatedRemoteUsage(tenant, call.carriedUnconfirmed());
     slice.applyTotal(call, {.sum = total, .lost = lost, .estimatedRemote = remote, .reportedAt = now});
     tenant.usage.recordTotal(now);
     if (plan.ceilingRate > 0 && lost <= 0 && window_.isWithinQuota(tenant, slice, now))
@@ -128,7 +128,7 @@
     WindowSlice* next = findSlice(tenant, nextSlice(closed.index()));
     if (next == nullptr || next->hasCarriedDebt()) return;
     const double total = closed.total() + window_.costSinceTotal(tenant, closed) + closed.expiredQuota();
-    const double debt = QuotaWindow::debtOf(usage_.planOf(tenant), total);
+    const double debt = QuotaWindow::debtOf(estimator_.planOf(tenant), total);
     next->carryDebt(debt);
     if (debt > 0) post(context, tenant, *next, next->beginFlushCall());
 }
@@ -164,14 +164,14 @@
 void CounterLedger::reconcile(EventContext& context, Tenant& tenant, const Request& request,
                               double difference) {
     const bool hasChangedPlan = tenant.plan != request.arrival.plan;
-    if (hasChangedPlan || usage_.planOf(tenant).rate <= 0 || difference == 0) return;
+    if (hasChangedPlan || estimator_.planOf(tenant).rate <= 0 || difference == 0) return;
     WindowSlice& current = window_.advance(tenant, context.now);
     current.reconcile(difference);
     scheduleFlush(context, tenant, current);
 }
 
 UnconfirmedCost CounterLedger::unconfirmedCost(const Tenant& tenant, double cost) const {
-    return {.local = cost, .estimatedRemote = usage_.estimatedRemoteUsage(tenant, cost)};
+    return {.local = cost, .estimatedRemote = estimator_.estimatedRemoteUsage(tenant, cost)};
 }
 
 // ---- Flushes ----------------------------------------------------------------------------------------
@@ -179,7 +179,7 @@
 void CounterLedger::scheduleFlush(EventContext& context, const Tenant& tenant, WindowSlice& slice) {
     if (slice.isFlushScheduled() || !settings_.counterEnabled) return;
     slice.setFlushScheduled(true);
-    const double delay = kFlushDelaySliceShare * sliceSeconds(usage_.planOf(tenant));
+    const double delay = kFlushDelaySliceShare * sliceSeconds(estimator_.planOf(tenant));
     context.setTimer(FlushDue{{tenant.id, slice.index()}}, fromSeconds(delay));
 }
 
@@ -204,7 +204,7 @@
 // With low local traffic, the pending charge, for example a reconciliation, often needs a flush because no
 // call for another request carries it. During congestion, only a sample of these charges is posted.
 bool CounterLedger::shouldSamplePendingCharge(const Tenant& tenant, const WindowSlice& slice) const {
-    return sampler_.isCongested() && slice.pendingRefund() == 0 && usage_.reliesOnMeter(tenant);
+    return sampler_.isCongested() && slice.pendingRefund() == 0 && estimator_.reliesOnMeter(tenant);
 }
 
 // Weights the pending charge and returns true if it is sampled; otherwise drops it and returns false. On
--- a/src/decision/quota/counter_ledger.h
+++ b/src/decision/quota/counter_ledger.h
@@ -37,11 +37,11 @@
     };
 
     // All arguments must outlive the ledger.
-    CounterLedger(const Settings& settings, const UsageEstimator& usage, QuotaWindow& window,
+    CounterLedger(const Settings& settings, const UsageEstimator& estimator, QuotaWindow& window,
                   CeilingBucket& ceiling, CounterSampler& sampler, TenantTable& tenants,
                   RequestTable& requests)
         : settings_(settings),
-          usage_(usage),
+          estimator_(estimator),
           window_(window),
           ceiling_(ceiling),
           sampler_(sampler),
@@ -94,7 +94,7 @@
     bool samplePendingCharge(EventContext& context, WindowSlice& slice);
 
     const Settings& settings_;
-    const UsageEstimator& usage_;
+    const UsageEstimator& estimator_;
     QuotaWindow& window_;
     CeilingBucket& ceiling_;
     CounterSampler& sampler_;
--- a/src/decision/quota/quota_admission.cpp
+++ b/src/decision/quota/quota_admission.cpp
@@ -36,7 +36,7 @@
 
 QuotaAdmission::StartResult QuotaAdmission::start(EventContext& context, Request& request) {
     Tenant& tenant = tenants_.touch(request.arrival, context.now);
-    if (usage_.planOf(tenant).rate <= 0) return StartResult::readyToDecide;
+    if (estimator_.planOf(tenant).rate <= 0) return StartResult::readyToDecide;
     const double cost = request.arrival.cost;
     WindowSlice& current = window_.advance(tenant, context.now);
     request.charge.sliceIndex = current.index();
@@ -64,7 +64,7 @@
                                    Request& request) {
     const double cost = request.arrival.cost;
     const bool usesSampleWeights = !current.hasChargeCalls() && !sampler_.isUnavailable();
-    tenant.usage.recordDemand(cost, usage_.planOf(tenant), context.now);
+    tenant.usage.recordDemand(cost, estimator_.planOf(tenant), context.now);
     const double benefit = replyBenefit(tenant, current, context.now);
     sampler_.recordReplyBenefit(benefit);
     const double probability = sampler_.sampleProbability(benefit);
@@ -79,11 +79,11 @@
 // A counter reply has the highest benefit for tenants that are close to their quota, and under plans with a
 // high price and a high penalty for over-quota requests.
 double QuotaAdmission::replyBenefit(const Tenant& tenant, const WindowSlice& slice, TimePoint now) const {
-    const QuotaPlan& plan = usage_.planOf(tenant);
+    const QuotaPlan& plan = estimator_.planOf(tenant);
     const double utilization =
         std::clamp(window_.quotaUtilization(tenant, slice, now), kMinReplyUtilization, 1.0);
     // The meter shows which few tenants are close to their quota, so utilization has a higher weight.
-    const double weight = usage_.reliesOnMeter(tenant) ? utilization * utilization : utilization;
+    const double weight = estimator_.reliesOnMeter(tenant) ? utilization * utilization : utilization;
     const double age =
         toSeconds(now - tenant.usage.totalReportedAt()) / (kFreshReplySliceShare * sliceSeconds(plan));
     return plan.price * (plan.overQuotaPenalty + kMinReplyPenalty) * weight *
@@ -91,7 +91,7 @@
 }
 
 double QuotaAdmission::maxSampleWeight(const Tenant& tenant) const {
-    return usage_.hasLowLocalTraffic(tenant) ? kMaxLowTrafficSampleWeight : kMaxSampleWeight;
+    return estimator_.hasLowLocalTraffic(tenant) ? kMaxLowTrafficSampleWeight : kMaxSampleWeight;
 }
 
 Duration QuotaAdmission::retryAfter(const Request& request, TimePoint now) const {
@@ -120,7 +120,7 @@
 // Returns the slice that the request was charged to, or the current one if that slice has left the window.
 // Returns null for a plan without a quota.
 WindowSlice* QuotaAdmission::advanceToChargedSlice(Tenant& tenant, const Request& request, TimePoint now) {
-    if (usage_.planOf(tenant).rate <= 0) return nullptr;
+    if (estimator_.planOf(tenant).rate <= 0) return nullptr;
     WindowSlice& current = window_.advance(tenant, now);
     WindowSlice* charged = findSlice(tenant, request.charge.sliceIndex);
     return charged != nullptr ? charged : &current;
@@ -128,13 +128,13 @@
 
 bool QuotaAdmission::decideAdmission(EventContext& context, Tenant& tenant, Request& request,
                                      WindowSlice* slice, TimePoint startedAt) {
-    const QuotaPlan& plan = usage_.planOf(tenant);
+    const QuotaPlan& plan = estimator_.planOf(tenant);
     QuotaCharge& charge = request.charge;
     if (slice != nullptr) {
         const bool fits = decideByWindow(tenant, request, *slice, context.now);
         if (!fits) return false;
     }
-    if (!charge.confirmed && usage_.hasLowLocalTraffic(tenant)) {
+    if (!charge.confirmed && estimator_.hasLowLocalTraffic(tenant)) {
         const double draw = context.random.next();
         if (draw >= unconfirmedAdmissionProbability(tenant, plan)) return false;
     }
@@ -154,7 +154,7 @@
     window_.expireUnusedQuota(tenant, slice, total, now);
     bool fits = window_.remainingQuota(tenant, slice, total, now).covers(request.arrival.cost);
     // The counter is not called for this request, so a recent rejection by a counter reply applies to it too.
-    const Duration sliceLength = fromSeconds(sliceSeconds(usage_.planOf(tenant)));
+    const Duration sliceLength = fromSeconds(sliceSeconds(estimator_.planOf(tenant)));
     if (charge.coveredBySamples && now < tenant.exhaustedAt + sliceLength) fits = false;
     recordWindowDecision(tenant, charge, fits, now);
     return fits;
@@ -171,7 +171,7 @@
 }
 
 bool QuotaAdmission::isWithinConcurrencyLimit(const Tenant& tenant, const QuotaPlan& plan) const {
-    const double share = std::floor(plan.concurrency * usage_.trafficShare(tenant));
+    const double share = std::floor(plan.concurrency * estimator_.trafficShare(tenant));
     return tenant.inFlight < std::max(1.0, share);
 }
 
--- a/src/decision/quota/quota_admission.h
+++ b/src/decision/quota/quota_admission.h
@@ -30,11 +30,11 @@
     };
 
     // All arguments must outlive this object.
-    QuotaAdmission(const Settings& settings, const UsageEstimator& usage, QuotaWindow& window,
+    QuotaAdmission(const Settings& settings, const UsageEstimator& estimator, QuotaWindow& window,
                    CeilingBucket& ceiling, CounterSampler& sampler, TenantTable& tenants,
                    CounterLedger& ledger)
         : settings_(settings),
-          usage_(usage),
+          estimator_(estimator),
           window_(window),
           ceiling_(ceiling),
           sampler_(sampler),
@@ -67,7 +67,7 @@
     double maxSampleWeight(const Tenant& tenant) const;
 
     const Settings& settings_;
-    const UsageEstimator& usage_;
+    const UsageEstimator& estimator_;
     QuotaWindow& window_;
     CeilingBucket& ceiling_;
     CounterSampler& sampler_;
--- a/src/decision/quota/quota_window.cpp
+++ b/src/decision/quota/quota_window.cpp
@@ -16,7 +16,7 @@
 }
 
 WindowSlice& QuotaWindow::advance(Tenant& tenant, TimePoint now) {
-    const SliceIndex current = sliceIndexAt(tenant.id, usage_.planOf(tenant), now);
+    const SliceIndex current = sliceIndexAt(tenant.id, estimator_.planOf(tenant), now);
     std::vector<WindowSlice>& slices = tenant.slices;
     while (!slices.empty() && slices.front().index() < previousSlice(current)) {
         tenant.usage.recordClosedSlice(slices.front());
@@ -30,7 +30,7 @@
 // Until the counter reports its total, a new slice has the known and estimated debt of the preceding slice.
 WindowSlice QuotaWindow::makeNextSlice(const Tenant& tenant, SliceIndex current) const {
     if (tenant.slices.empty()) return WindowSlice(previousSlice(current));
-    const QuotaPlan& plan = usage_.planOf(tenant);
+    const QuotaPlan& plan = estimator_.planOf(tenant);
     const WindowSlice& previous = tenant.slices.back();
     const double known = previous.total() + previous.expiredQuota();
     const double debt = debtOf(plan, known);
@@ -39,10 +39,10 @@
 }
 
 double QuotaWindow::estimatedTotal(const Tenant& tenant, const WindowSlice& slice, TimePoint now) const {
-    if (!usage_.reliesOnMeter(tenant))
+    if (!estimator_.reliesOnMeter(tenant))
         return slice.total() + slice.admittedSinceTotal() + slice.remoteSinceTotal();
     // The estimate of remote usage is limited to the plan's rate.
-    const QuotaPlan& plan = usage_.planOf(tenant);
+    const QuotaPlan& plan = estimator_.planOf(tenant);
     const double since = std::max(secondsSinceEpoch(slice.totalReportedAt()),
                                   sliceStartSeconds(tenant.id, plan, slice.index()));
     const double maxRemote = plan.rate * std::max(0.0, secondsSinceEpoch(now) - since);
@@ -56,17 +56,17 @@
 
 void QuotaWindow::expireUnusedQuota(const Tenant& tenant, WindowSlice& slice, double total, TimePoint now) {
     const double quota = quotaBeforeExpiry(tenant, slice, total, now);
-    slice.expireQuota(quota - maxBurst(usage_.planOf(tenant)));
+    slice.expireQuota(quota - maxBurst(estimator_.planOf(tenant)));
 }
 
 void QuotaWindow::expireCurrentSliceQuota(Tenant& tenant, TimePoint now) {
-    if (usage_.planOf(tenant).rate <= 0 || tenant.slices.empty()) return;
+    if (estimator_.planOf(tenant).rate <= 0 || tenant.slices.empty()) return;
     WindowSlice& current = tenant.slices.back();
     expireUnusedQuota(tenant, current, current.total(), now);
 }
 
 Duration QuotaWindow::timeUntilQuota(const Tenant& tenant, double cost, TimePoint now) const {
-    const QuotaPlan& plan = usage_.planOf(tenant);
+    const QuotaPlan& plan = estimator_.planOf(tenant);
     if (plan.rate <= 0 || tenant.slices.empty()) return Duration{};
     const WindowSlice& current = tenant.slices.back();
     const double missing = cost - remainingQuota(tenant, current, current.total(), now).cost;
@@ -74,7 +74,7 @@
 }
 
 bool QuotaWindow::isWithinQuota(const Tenant& tenant, const WindowSlice& slice, TimePoint now) const {
-    const QuotaPlan& plan = usage_.planOf(tenant);
+    const QuotaPlan& plan = estimator_.planOf(tenant);
     const double length = sliceSeconds(plan);
     const double age = sliceAgeSeconds(tenant.id, plan, slice.index(), now);
     // The quota of a closed slice stops growing at its end.
@@ -84,15 +84,15 @@
 }
 
 double QuotaWindow::quotaUtilization(const Tenant& tenant, const WindowSlice& slice, TimePoint now) const {
-    if (usage_.reliesOnMeter(tenant)) return tenant.usage.meteredUtilization();
-    const QuotaPlan& plan = usage_.planOf(tenant);
-    const double byDemand = tenant.usage.demand() / (usage_.trafficShare(tenant) * plan.rate);
+    if (estimator_.reliesOnMeter(tenant)) return tenant.usage.meteredUtilization();
+    const QuotaPlan& plan = estimator_.planOf(tenant);
+    const double byDemand = tenant.usage.demand() / (estimator_.trafficShare(tenant) * plan.rate);
     const double byTotal = estimatedTotal(tenant, slice, now) / (plan.rate * sliceSeconds(plan));
     return std::max(byDemand, byTotal);
 }
 
 double QuotaWindow::costSinceTotal(const Tenant& tenant, const WindowSlice& slice) const {
-    const double remote = usage_.reliesOnMeter(tenant) ? 0 : slice.remoteSinceTotal();
+    const double remote = estimator_.reliesOnMeter(tenant) ? 0 : slice.remoteSinceTotal();
     return slice.admittedSinceTotal() + remote;
 }
 
@@ -107,7 +107,7 @@
 
 double QuotaWindow::quotaBeforeExpiry(const Tenant& tenant, const WindowSlice& slice, double total,
                                       TimePoint now) const {
-    const QuotaPlan& plan = usage_.planOf(tenant);
+    const QuotaPlan& plan = estimator_.planOf(tenant);
     return maxBurst(plan) + plan.rate * sliceAgeSeconds(tenant.id, plan, slice.index(), now) - total;
 }
 
--- a/src/decision/quota/quota_window.h
+++ b/src/decision/quota/quota_window.h
@@ -27,7 +27,8 @@
 class QuotaWindow {
 public:
     // Both arguments must outlive the window.
-    QuotaWindow(const Settings& settings, const UsageEstimator& usage) : settings_(settings), usage_(usage) {}
+    QuotaWindow(const Settings& settings, const UsageEstimator& estimator)
+        : settings_(settings), estimator_(estimator) {}
 
     // Removes slices that have left the window, opens the current slice if necessary and returns it.
     // Invalidates pointers and references to the tenant's slices.
@@ -75,7 +76,7 @@
                              TimePoint now) const;
 
     const Settings& settings_;
-    const UsageEstimator& usage_;
+    const UsageEstimator& estimator_;
 };
 
 }  // namespace gateway
