--- a/src/decision/quota/counter_ledger.cpp
+++ b/src/decision/quota/counter_ledger.cpp
@@ -87,11 +87,11 @@
     const QuotaPlan& plan = estimator_.planOf(tenant);
     const double lost = lostCost(plan, call, total);
     // The other gateways are assumed to have admitted cost without posting it, as this gateway has.
-    const double remote = estimator_.estimatedRemoteUsage(tenant, call.carriedUnconfirmed());
+    const double remote = estimator_.estimatedRemoteUsage(tenant, call.carriedUnconfirmedCost());
     slice.applyTotal(call, {.sum = total, .lost = lost, .estimatedRemote = remote, .reportedAt = now});
     tenant.usage.recordTotal(now);
     if (plan.ceilingRate > 0 && lost <= 0 && window_.isWithinQuota(tenant, slice, now))
-        ceiling_.refundConfirmed(tenant, plan, call.unconfirmed());
+        ceiling_.refundConfirmed(tenant, plan, call.unconfirmedCost());
 }
 
 // A total below the cost that this gateway has posted shows that the counter lost counts. With
@@ -138,7 +138,7 @@
 void CounterLedger::recordAdmitted(const Tenant& tenant, WindowSlice& slice, const Request& request) {
     const double cost = request.arrival.cost;
     slice.recordAdmitted(request.key, request.charge, cost);
-    if (!request.charge.confirmed) slice.addUnconfirmed(unconfirmedCost(tenant, cost));
+    if (!request.charge.confirmed) slice.addUnconfirmedCost(estimateUnconfirmedCost(tenant, cost));
 }
 
 void CounterLedger::refundRejected(EventContext& context, const Request& request, WindowSlice* slice) {
@@ -155,7 +155,7 @@
     WindowSlice* slice = findSlice(*tenant, charge.sliceIndex);
     if (slice != nullptr && !charge.coveredBySamples) {
         slice->refundAdmitted(charge, cost);
-        if (!charge.confirmed) slice->addUnconfirmed(unconfirmedCost(*tenant, -cost));
+        if (!charge.confirmed) slice->addUnconfirmedCost(estimateUnconfirmedCost(*tenant, -cost));
         scheduleFlush(context, *tenant, *slice);
     }
     if (charge.consumedCeilingTokens) CeilingBucket::refundUnsent(*tenant, cost);
@@ -170,7 +170,7 @@
     scheduleFlush(context, tenant, current);
 }
 
-UnconfirmedCost CounterLedger::unconfirmedCost(const Tenant& tenant, double cost) const {
+UnconfirmedCost CounterLedger::estimateUnconfirmedCost(const Tenant& tenant, double cost) const {
     return {.local = cost, .estimatedRemote = estimator_.estimatedRemoteUsage(tenant, cost)};
 }
 
--- a/src/decision/quota/counter_ledger.h
+++ b/src/decision/quota/counter_ledger.h
@@ -88,7 +88,7 @@
                          const CounterReplied& reply);
     bool shouldReadClosedSlice(const Tenant& tenant, const WindowSlice& closed, TimePoint now) const;
     void carryDebt(EventContext& context, Tenant& tenant, const WindowSlice& closed);
-    UnconfirmedCost unconfirmedCost(const Tenant& tenant, double cost) const;
+    UnconfirmedCost estimateUnconfirmedCost(const Tenant& tenant, double cost) const;
     void scheduleFlush(EventContext& context, const Tenant& tenant, WindowSlice& slice);
     bool shouldSamplePendingCharge(const Tenant& tenant, const WindowSlice& slice) const;
     bool samplePendingCharge(EventContext& context, WindowSlice& slice);
--- a/src/decision/quota/window_slice.cpp
+++ b/src/decision/quota/window_slice.cpp
@@ -30,8 +30,8 @@
 const CounterCall& WindowSlice::beginCall(CounterCall call) {
     call.carriedCharge_ = std::exchange(pendingCharge_, 0);
     call.carriedRefund_ = std::exchange(pendingRefund_, 0);
-    call.carriedUnconfirmed_ = std::exchange(pendingUnconfirmed_, 0);
-    call.unconfirmed_ = call.carriedUnconfirmed_;
+    call.carriedUnconfirmedCost_ = std::exchange(pendingUnconfirmedCost_, 0);
+    call.unconfirmedCost_ = call.carriedUnconfirmedCost_;
     call.amount_ = call.charge_ + call.carriedCharge_ - call.carriedRefund_;
     postedRefund_ += call.carriedRefund_;
     posted_ += call.amount_;
@@ -90,15 +90,15 @@
     CounterCall* call = findCall(request);
     if (call != nullptr) {
         call->admission_ = Admission::admitted;
-        if (!charge.confirmed) call->unconfirmed_ += cost;
+        if (!charge.confirmed) call->unconfirmedCost_ += cost;
         return;
     }
     if (charge.counted || charge.coveredBySamples) return;
     pendingCharge_ += cost;
-    if (!charge.confirmed) pendingUnconfirmed_ += cost;
+    if (!charge.confirmed) pendingUnconfirmedCost_ += cost;
 }
 
-void WindowSlice::addUnconfirmed(const UnconfirmedCost& cost) {
+void WindowSlice::addUnconfirmedCost(const UnconfirmedCost& cost) {
     admittedSinceTotal_ += cost.local;
     remoteSinceTotal_ += cost.estimatedRemote;
 }
@@ -114,7 +114,8 @@
 void WindowSlice::refundAdmitted(const QuotaCharge& charge, double cost) {
     localAdmitted_ -= cost;
     addRefund(charge);
-    if (!charge.confirmed && !charge.counted) pendingUnconfirmed_ = std::max(0.0, pendingUnconfirmed_ - cost);
+    if (!charge.confirmed && !charge.counted)
+        pendingUnconfirmedCost_ = std::max(0.0, pendingUnconfirmedCost_ - cost);
 }
 
 void WindowSlice::addRefund(const QuotaCharge& charge) {
--- a/src/decision/quota/window_slice.h
+++ b/src/decision/quota/window_slice.h
@@ -34,9 +34,9 @@
     // The decision on request(); pending if the request still waits for the reply.
     Admission admission() const { return admission_; }
     // The part of that pending charge that was admitted without a reply.
-    double carriedUnconfirmed() const { return carriedUnconfirmed_; }
-    // carriedUnconfirmed() and, if request() was admitted before the reply, its cost.
-    double unconfirmed() const { return unconfirmed_; }
+    double carriedUnconfirmedCost() const { return carriedUnconfirmedCost_; }
+    // carriedUnconfirmedCost() and, if request() was admitted before the reply, its cost.
+    double unconfirmedCost() const { return unconfirmedCost_; }
     // The slice's posted() immediately after this call began. Calls rolled back and counts reported lost
     // since then are subtracted.
     double cumulativePosted() const { return cumulativePosted_; }
@@ -52,8 +52,8 @@
     double carriedCharge_ = 0;     // pending charge that this call posts
     double carriedRefund_ = 0;     // pending refunds that this call posts
     double cumulativeRefund_ = 0;  // all refunds posted under the slice's name, up to and including this call
-    double carriedUnconfirmed_ = 0;
-    double unconfirmed_ = 0;
+    double carriedUnconfirmedCost_ = 0;
+    double unconfirmedCost_ = 0;
     double cumulativePosted_ = 0;
 };
 
@@ -122,7 +122,7 @@
     // Admitted, reconciled or carried cost that the next call posts.
     double pendingCharge() const { return pendingCharge_; }
     // The part of pendingCharge() that was admitted without a counter reply.
-    double pendingUnconfirmed() const { return pendingUnconfirmed_; }
+    double pendingUnconfirmedCost() const { return pendingUnconfirmedCost_; }
     // Refunds that the next call posts.
     double pendingRefund() const { return pendingRefund_; }
     // All refunds: pending, in flight or on the counter.
@@ -162,7 +162,7 @@
     void recordAdmitted(RequestKey request, const QuotaCharge& charge, double cost);
 
     // Adds cost that was admitted without a counter reply; negative amounts subtract it again.
-    void addUnconfirmed(const UnconfirmedCost& cost);
+    void addUnconfirmedCost(const UnconfirmedCost& cost);
 
     // Refunds the charge of a rejected request. Returns false, and changes nothing, if no call has posted it.
     bool refundRejected(RequestKey request, const QuotaCharge& charge);
@@ -207,7 +207,7 @@
     bool isFlushScheduled_ = false;
     double pendingCharge_ = 0;
     double pendingRefund_ = 0;
-    double pendingUnconfirmed_ = 0;
+    double pendingUnconfirmedCost_ = 0;
     double refunds_ = 0;
     double postedRefund_ = 0;
     double posted_ = 0;
--- a/tests/decision/quota/window_slice_test.cpp
+++ b/tests/decision/quota/window_slice_test.cpp
@@ -212,13 +212,13 @@
 
 TEST_F(WindowSliceTest, UnconfirmedCostIsCarriedByTheNextCall) {
     slice.recordAdmitted(kFirst, uncountedCharge(5), 5);
-    slice.addUnconfirmed({.local = 5, .estimatedRemote = 15});
+    slice.addUnconfirmedCost({.local = 5, .estimatedRemote = 15});
     EXPECT_EQ(slice.admittedSinceTotal(), 5);
     EXPECT_EQ(slice.remoteSinceTotal(), 15);
-    EXPECT_EQ(slice.pendingUnconfirmed(), 5);
+    EXPECT_EQ(slice.pendingUnconfirmedCost(), 5);
     const CounterCall& call = slice.beginChargeCall(kSecond, 1);
-    EXPECT_EQ(call.carriedUnconfirmed(), 5);
-    EXPECT_EQ(slice.pendingUnconfirmed(), 0);
+    EXPECT_EQ(call.carriedUnconfirmedCost(), 5);
+    EXPECT_EQ(slice.pendingUnconfirmedCost(), 0);
 }
 
 struct CoveredChargeCase {
