--- a/src/decision/quota/counter_ledger.cpp
+++ b/src/decision/quota/counter_ledger.cpp
@@ -210,7 +210,7 @@
 // Weights the pending charge and returns true if it is sampled; otherwise drops it and returns false. On
 // average, the posted amount equals the pending charge.
 bool CounterLedger::samplePendingCharge(EventContext& context, WindowSlice& slice) {
-    const double probability = sampler_.reconciliationProbability();
+    const double probability = sampler_.pendingChargeProbability();
     const bool sampled = context.random.next() < probability;
     if (sampled)
         slice.weightPendingCharge(probability);
--- a/src/decision/quota/counter_sampler.cpp
+++ b/src/decision/quota/counter_sampler.cpp
@@ -17,7 +17,7 @@
 constexpr double kSlowReplyShare = 0.3;  // of the interval from the quickest reply's time to the timeout
 constexpr int kUnavailableFailures = 4;  // in a row
 constexpr double kReplyBenefitSmoothing = 0.02;
-constexpr double kMinReconciliationProbability = 0.25;
+constexpr double kMinPendingChargeProbability = 0.25;
 constexpr double kMinProbabilityExponent = 0.2;
 constexpr double kMaxProbabilityExponent = 4.0;
 constexpr double kMinReplyBenefit = 1e-9;  // avoids a division by zero
@@ -81,8 +81,8 @@
     return random.next() < sampleRate_;
 }
 
-double CounterSampler::reconciliationProbability() const {
-    return std::max(sampleRate_, kMinReconciliationProbability);
+double CounterSampler::pendingChargeProbability() const {
+    return std::max(sampleRate_, kMinPendingChargeProbability);
 }
 
 }  // namespace gateway
--- a/src/decision/quota/counter_sampler.h
+++ b/src/decision/quota/counter_sampler.h
@@ -41,7 +41,7 @@
 
     // Returns the probability with which a pending charge that no other call would carry is posted to a
     // congested counter.
-    double reconciliationProbability() const;
+    double pendingChargeProbability() const;
 
 private:
     void recordFailure();
--- a/tests/decision/quota/counter_sampler_test.cpp
+++ b/tests/decision/quota/counter_sampler_test.cpp
@@ -167,7 +167,7 @@
     record(Outcome::timedOut, 1000);
     sampler.recordReplyBenefit(1);
     EXPECT_NEAR(sampler.sampleProbability(1), 0.1, 1e-9);
-    EXPECT_NEAR(sampler.reconciliationProbability(), 0.25, 1e-9);
+    EXPECT_NEAR(sampler.pendingChargeProbability(), 0.25, 1e-9);
 }
 
 TEST_F(CounterSampleRateTest, PrefersRepliesOfHighBenefit) {
