--- a/src/decision/quota/counter_ledger.cpp
+++ b/src/decision/quota/counter_ledger.cpp
@@ -14,8 +14,9 @@
 constexpr double kMinLostBurstShare = 0.5;  // with reconciliation, as a share of the burst
 constexpr double kMinLostCost = 0.5;        // without reconciliation
 
-// A call opened its slice if the reported total exceeds its charge by at most this.
-constexpr double kOpeningCostMargin = 0.5;
+// A call counts as the first of all gateways to its slice if this gateway has posted nothing else to the
+// slice and the reported total exceeds the call's charge by at most this.
+constexpr double kFirstCallMargin = 0.5;
 
 // Whether the counter has counted a call, or most likely has. A congested counter still processes calls that
 // have timed out, and posting such a call again could exhaust the tenant's quota. If the call was lost after
@@ -27,10 +28,10 @@
 // Records the outcome of the call that posted the request's charge.
 void recordChargeReply(Request& request, Outcome outcome) {
     QuotaCharge& charge = request.charge;
-    charge.posted = isLikelyCounted(outcome);
+    charge.counted = isLikelyCounted(outcome);
     charge.confirmed = outcome == Outcome::ok;
     // A call that was not counted covers no unsampled requests, so the sample weight no longer applies.
-    if (!charge.posted) charge.amount = request.arrival.cost;
+    if (!charge.counted) charge.amount = request.arrival.cost;
 }
 
 }  // namespace
@@ -46,7 +47,7 @@
 void CounterLedger::post(EventContext& context, const Tenant& tenant, const WindowSlice& slice,
                          const CounterCall& call) {
     context.emit(AddToCounter{formatSliceKey({tenant.id, slice.index()}), call.amount(),
-                              counterNameLifetime(usage_.planOf(tenant))});
+                              counterNameLifetime(estimator_.planOf(tenant))});
 }
 
 CounterLedger::ReplyResult CounterLedger::onReply(EventContext& context, const CounterReplied& reply) {
@@ -83,18 +84,19 @@
 
 void CounterLedger::applyTotal(Tenant& tenant, WindowSlice& slice, const CounterCall& call, double total,
                                TimePoint now) {
-    const QuotaPlan& plan = usage_.planOf(tenant);
+    const QuotaPlan& plan = estimator_.planOf(tenant);
     const double lost = lostCost(plan, call, total);
     // The other gateways are assumed to have admitted cost without posting it, as this gateway has.
-    const double remote = usage_.estimatedRemoteUsage(tenant, call.carriedUnconfirmed());
+    const double remote = estimator_.estimatedRemoteUsage(tenant, call.carriedUnconfirmedCost());
     slice.applyTotal(call, {.sum = total, .lost = lost, .estimatedRemote = remote, .reportedAt = now});
     tenant.usage.recordTotal(now);
     if (plan.ceilingRate > 0 && lost <= 0 && window_.isWithinQuota(tenant, slice, now))
-        ceiling_.refundConfirmed(tenant, plan, call.unconfirmed());
+        ceiling_.refundConfirmed(tenant, plan, call.unconfirmedCost());
 }
 
 // A total below the cost that this gateway has posted shows that the counter lost counts. With
-// reconciliation, refunds by other gateways lower the total too, so the threshold is higher.
+// reconciliation, the threshold is higher: other gateways may post refunds for charges to earlier slices, so
+// that a total can be below this gateway's posted cost although no count was lost.
 double CounterLedger::lostCost(const QuotaPlan& plan, const CounterCall& call, double total) const {
     const double shortage = call.cumulativePosted() - total;
     const double minLost = settings_.reconciliationEnabled
@@ -103,15 +105,15 @@
     return shortage < minLost ? 0 : shortage;
 }
 
-// The request whose call opened a slice also waits for a read of the preceding, closed slice, so that one
-// gateway carries that slice's debt forward.
+// The request whose call was the first to a slice also waits for a read of the preceding, closed slice, so
+// that one gateway carries that slice's debt forward.
 void CounterLedger::readClosedSlice(EventContext& context, Tenant& tenant, const CounterCall& call,
                                     Request& request, const CounterReplied& reply) {
     WindowSlice* closed = findSlice(tenant, previousSlice(request.charge.sliceIndex));
     if (closed == nullptr || !shouldReadClosedSlice(tenant, *closed, context.now)) return;
-    const bool openedSlice =
-        call.cumulativePosted() == call.charge() && reply.total <= call.charge() + kOpeningCostMargin;
-    if (!openedSlice) return;
+    const bool isFirstCallToSlice =
+        call.cumulativePosted() == call.charge() && reply.total <= call.charge() + kFirstCallMargin;
+    if (!isFirstCallToSlice) return;
     post(context, tenant, *closed, closed->beginReadCall(request.key));
     ++request.charge.pendingReplies;
 }
@@ -125,8 +127,8 @@
 void CounterLedger::carryDebt(EventContext& context, Tenant& tenant, const WindowSlice& closed) {
     WindowSlice* next = findSlice(tenant, nextSlice(closed.index()));
     if (next == nullptr || next->hasCarriedDebt()) return;
-    const double total = closed.total() + window_.costSinceTotal(tenant, closed) + closed.expiredBurst();
-    const double debt = QuotaWindow::debtOf(usage_.planOf(tenant), total);
+    const double total = closed.total() + window_.costSinceTotal(tenant, closed) + closed.expiredQuota();
+    const double debt = QuotaWindow::debtOf(estimator_.planOf(tenant), total);
     next->carryDebt(debt);
     if (debt > 0) post(context, tenant, *next, next->beginFlushCall());
 }
@@ -136,7 +138,7 @@
 void CounterLedger::recordAdmitted(const Tenant& tenant, WindowSlice& slice, const Request& request) {
     const double cost = request.arrival.cost;
     slice.recordAdmitted(request.key, request.charge, cost);
-    if (!request.charge.confirmed) slice.addUnconfirmed(unconfirmedCost(tenant, cost));
+    if (!request.charge.confirmed) slice.addUnconfirmedCost(estimateUnconfirmedCost(tenant, cost));
 }
 
 void CounterLedger::refundRejected(EventContext& context, const Request& request, WindowSlice* slice) {
@@ -153,7 +155,7 @@
     WindowSlice* slice = findSlice(*tenant, charge.sliceIndex);
     if (slice != nullptr && !charge.coveredBySamples) {
         slice->refundAdmitted(charge, cost);
-        if (!charge.confirmed) slice->addUnconfirmed(unconfirmedCost(*tenant, -cost));
+        if (!charge.confirmed) slice->addUnconfirmedCost(estimateUnconfirmedCost(*tenant, -cost));
         scheduleFlush(context, *tenant, *slice);
     }
     if (charge.consumedCeilingTokens) CeilingBucket::refundUnsent(*tenant, cost);
@@ -162,14 +164,14 @@
 void CounterLedger::reconcile(EventContext& context, Tenant& tenant, const Request& request,
                               double difference) {
     const bool hasChangedPlan = tenant.plan != request.arrival.plan;
-    if (hasChangedPlan || usage_.planOf(tenant).rate <= 0 || difference == 0) return;
+    if (hasChangedPlan || estimator_.planOf(tenant).rate <= 0 || difference == 0) return;
     WindowSlice& current = window_.advance(tenant, context.now);
     current.reconcile(difference);
     scheduleFlush(context, tenant, current);
 }
 
-UnconfirmedCost CounterLedger::unconfirmedCost(const Tenant& tenant, double cost) const {
-    return {.local = cost, .estimatedRemote = usage_.estimatedRemoteUsage(tenant, cost)};
+UnconfirmedCost CounterLedger::estimateUnconfirmedCost(const Tenant& tenant, double cost) const {
+    return {.local = cost, .estimatedRemote = estimator_.estimatedRemoteUsage(tenant, cost)};
 }
 
 // ---- Flushes ----------------------------------------------------------------------------------------
@@ -177,7 +179,7 @@
 void CounterLedger::scheduleFlush(EventContext& context, const Tenant& tenant, WindowSlice& slice) {
     if (slice.isFlushScheduled() || !settings_.counterEnabled) return;
     slice.setFlushScheduled(true);
-    const double delay = kFlushDelaySliceShare * sliceSeconds(usage_.planOf(tenant));
+    const double delay = kFlushDelaySliceShare * sliceSeconds(estimator_.planOf(tenant));
     context.setTimer(FlushDue{{tenant.id, slice.index()}}, fromSeconds(delay));
 }
 
@@ -188,7 +190,7 @@
     slice->setFlushScheduled(false);
     // While the counter is unavailable, the amounts stay pending until the next call for the slice.
     if (!slice->hasPendingAmounts() || sampler_.isUnavailable()) return;
-    if (shouldSampleReconciliations(*tenant, *slice)) {
+    if (shouldSamplePendingCharge(*tenant, *slice)) {
         const bool sampled = samplePendingCharge(context, *slice);
         if (!sampled) return;
     }
@@ -199,16 +201,16 @@
         scheduleFlush(context, *tenant, *slice);
 }
 
-// With low local traffic, often no further call carries a reconciliation, so that each needs a call of its
-// own. During congestion that is too many calls.
-bool CounterLedger::shouldSampleReconciliations(const Tenant& tenant, const WindowSlice& slice) const {
-    return sampler_.isCongested() && slice.pendingRefund() == 0 && usage_.reliesOnMeter(tenant);
+// With low local traffic, the pending charge, for example a reconciliation, often needs a flush because no
+// call for another request carries it. During congestion, only a sample of these charges is posted.
+bool CounterLedger::shouldSamplePendingCharge(const Tenant& tenant, const WindowSlice& slice) const {
+    return sampler_.isCongested() && slice.pendingRefund() == 0 && estimator_.reliesOnMeter(tenant);
 }
 
 // Weights the pending charge and returns true if it is sampled; otherwise drops it and returns false. On
 // average, the posted amount equals the pending charge.
 bool CounterLedger::samplePendingCharge(EventContext& context, WindowSlice& slice) {
-    const double probability = sampler_.reconciliationProbability();
+    const double probability = sampler_.pendingChargeProbability();
     const bool sampled = context.random.next() < probability;
     if (sampled)
         slice.weightPendingCharge(probability);
--- a/src/decision/quota/counter_sampler.cpp
+++ b/src/decision/quota/counter_sampler.cpp
@@ -9,19 +9,19 @@
 namespace {
 
 constexpr double kMinSampleRate = 0.1;  // the remaining calls detect the counter's recovery
-constexpr double kRateIncreasePerReply = 0.01;
-constexpr double kRateIncreasePerIdleSecond = 0.05;
+constexpr double kSampleRateIncreasePerReply = 0.01;
+constexpr double kSampleRateIncreasePerIdleSecond = 0.05;
 constexpr Duration kMaxIdle = std::chrono::seconds(2);
-constexpr double kFailureRateMultiplier = 0.75;
-constexpr double kSlowReplyRateMultiplier = 0.97;
+constexpr double kSampleRateMultiplierOnFailure = 0.75;
+constexpr double kSampleRateMultiplierOnSlowReply = 0.97;
 constexpr double kSlowReplyShare = 0.3;  // of the interval from the quickest reply's time to the timeout
 constexpr int kUnavailableFailures = 4;  // in a row
-constexpr double kReplyValueSmoothing = 0.02;
-constexpr double kMinReconciliationProbability = 0.25;
+constexpr double kReplyBenefitSmoothing = 0.02;
+constexpr double kMinPendingChargeProbability = 0.25;
 constexpr double kMinProbabilityExponent = 0.2;
 constexpr double kMaxProbabilityExponent = 4.0;
-constexpr double kMinReplyValue = 1e-9;  // avoids a division by zero
-constexpr Duration kMinTimeout{1};       // avoids a division by zero
+constexpr double kMinReplyBenefit = 1e-9;  // avoids a division by zero
+constexpr Duration kMinTimeout{1};         // avoids a division by zero
 
 }  // namespace
 
@@ -36,7 +36,8 @@
     const bool indicatesCongestion =
         reply.outcome != Outcome::reset || consecutiveFailures_ + 1 >= kUnavailableFailures;
     recordFailure();
-    if (indicatesCongestion) sampleRate_ = std::max(kMinSampleRate, sampleRate_ * kFailureRateMultiplier);
+    if (indicatesCongestion)
+        sampleRate_ = std::max(kMinSampleRate, sampleRate_ * kSampleRateMultiplierOnFailure);
 }
 
 void CounterSampler::recordFailure() {
@@ -51,26 +52,27 @@
     consecutiveFailures_ = 0;
     const bool isSlow = timeoutShare > quickestReplyShare_ + (1 - quickestReplyShare_) * kSlowReplyShare;
     if (isSlow) {
-        sampleRate_ = std::max(kMinSampleRate, sampleRate_ * kSlowReplyRateMultiplier);
+        sampleRate_ = std::max(kMinSampleRate, sampleRate_ * kSampleRateMultiplierOnSlowReply);
         return;
     }
     const double idleSeconds = toSeconds(std::min(idle, kMaxIdle));
-    sampleRate_ =
-        std::min(1.0, sampleRate_ + kRateIncreasePerReply + kRateIncreasePerIdleSecond * idleSeconds);
+    sampleRate_ = std::min(
+        1.0, sampleRate_ + kSampleRateIncreasePerReply + kSampleRateIncreasePerIdleSecond * idleSeconds);
 }
 
 bool CounterSampler::isUnavailable() const {
     return consecutiveFailures_ >= kUnavailableFailures;
 }
 
-void CounterSampler::recordReplyValue(double replyValue) {
-    const bool isFirst = meanReplyValue_ <= 0;
-    meanReplyValue_ = isFirst ? replyValue : movingAverage(meanReplyValue_, replyValue, kReplyValueSmoothing);
+void CounterSampler::recordReplyBenefit(double replyBenefit) {
+    const bool isFirst = meanReplyBenefit_ <= 0;
+    meanReplyBenefit_ =
+        isFirst ? replyBenefit : movingAverage(meanReplyBenefit_, replyBenefit, kReplyBenefitSmoothing);
 }
 
-double CounterSampler::sampleProbability(double replyValue) const {
+double CounterSampler::sampleProbability(double replyBenefit) const {
     if (!isCongested()) return 1;
-    const double exponent = meanReplyValue_ / std::max(replyValue, kMinReplyValue);
+    const double exponent = meanReplyBenefit_ / std::max(replyBenefit, kMinReplyBenefit);
     return std::pow(sampleRate_, std::clamp(exponent, kMinProbabilityExponent, kMaxProbabilityExponent));
 }
 
@@ -79,8 +81,8 @@
     return random.next() < sampleRate_;
 }
 
-double CounterSampler::reconciliationProbability() const {
-    return std::max(sampleRate_, kMinReconciliationProbability);
+double CounterSampler::pendingChargeProbability() const {
+    return std::max(sampleRate_, kMinPendingChargeProbability);
 }
 
 }  // namespace gateway
--- a/src/decision/quota/quota_admission.h
+++ b/src/decision/quota/quota_admission.h
@@ -13,7 +13,8 @@
 
 namespace gateway {
 
-// Keeps the share of rejecting counter replies for each plan; its collaborators keep all other state.
+// Keeps the share of counter replies that left no quota, for each plan; its collaborators keep all other
+// state.
 class QuotaAdmission {
 public:
     // How a request proceeds after start().
@@ -25,21 +26,21 @@
 
     struct Decision {
         bool admitted = false;
-        Duration retryAfter{};  // if rejected: time until the tenant has quota for the request
+        Duration retryAfter{};  // if rejected: time until the tenant has quota for the request; 0 if it has
     };
 
     // All arguments must outlive this object.
-    QuotaAdmission(const Settings& settings, const UsageEstimator& usage, QuotaWindow& window,
+    QuotaAdmission(const Settings& settings, const UsageEstimator& estimator, QuotaWindow& window,
                    CeilingBucket& ceiling, CounterSampler& sampler, TenantTable& tenants,
                    CounterLedger& ledger)
         : settings_(settings),
-          usage_(usage),
+          estimator_(estimator),
           window_(window),
           ceiling_(ceiling),
           sampler_(sampler),
           tenants_(tenants),
           ledger_(ledger),
-          rejectingReplyShares_(settings.plans.size(), 0) {}
+          exhaustedReplyShares_(settings.plans.size(), 0) {}
 
     // Charges an arrived request, or rejects it if the last known total leaves no quota for it.
     // Precondition: its class and its plan are in the settings.
@@ -62,18 +63,18 @@
     void recordWindowDecision(Tenant& tenant, const QuotaCharge& charge, bool fits, TimePoint now);
     bool isWithinConcurrencyLimit(const Tenant& tenant, const QuotaPlan& plan) const;
     double unconfirmedAdmissionProbability(const Tenant& tenant, const QuotaPlan& plan) const;
-    double replyValue(const Tenant& tenant, const WindowSlice& slice, TimePoint now) const;
+    double replyBenefit(const Tenant& tenant, const WindowSlice& slice, TimePoint now) const;
     double maxSampleWeight(const Tenant& tenant) const;
 
     const Settings& settings_;
-    const UsageEstimator& usage_;
+    const UsageEstimator& estimator_;
     QuotaWindow& window_;
     CeilingBucket& ceiling_;
     CounterSampler& sampler_;
     TenantTable& tenants_;
     CounterLedger& ledger_;
     // For each plan: moving average of the share of counter replies that left no quota for their request.
-    std::vector<double> rejectingReplyShares_;
+    std::vector<double> exhaustedReplyShares_;
 };
 
 }  // namespace gateway
--- a/src/decision/quota/quota_window.h
+++ b/src/decision/quota/quota_window.h
@@ -1,8 +1,10 @@
 // The sliding window that limits a tenant to its quota.
 //
-// It follows the sliding window counters of Šnuderl's "Rate limiting in API management". The remaining quota
-// of a slice is the burst, plus the rate times the slice's age, less the slice's total. docs/design.md lists
-// the differences from the thesis.
+// It follows the sliding window counters of Šnuderl's "Rate limiting in API management"; docs/design.md lists
+// the differences from the thesis. A tenant's window consists of the current slice and the preceding one. The
+// remaining quota of a slice is the burst, or the largest request cost if that is higher, plus the rate times
+// the slice's age, less the slice's total and the unused quota that has expired. The preceding slice affects
+// the current one only by the debt that it carries forward.
 #pragma once
 
 #include "decision/quota/slice_schedule.h"
@@ -25,7 +27,8 @@
 class QuotaWindow {
 public:
     // Both arguments must outlive the window.
-    QuotaWindow(const Settings& settings, const UsageEstimator& usage) : settings_(settings), usage_(usage) {}
+    QuotaWindow(const Settings& settings, const UsageEstimator& estimator)
+        : settings_(settings), estimator_(estimator) {}
 
     // Removes slices that have left the window, opens the current slice if necessary and returns it.
     // Invalidates pointers and references to the tenant's slices.
@@ -35,17 +38,17 @@
     // admitted since, by this gateway and, as estimated, by the others.
     double estimatedTotal(const Tenant& tenant, const WindowSlice& slice, TimePoint now) const;
 
-    // Returns the remaining quota if the slice's total is `total`. Expired capacity is not included.
+    // Returns the remaining quota if the slice's total is `total`. Expired quota is not included.
     RemainingQuota remainingQuota(const Tenant& tenant, const WindowSlice& slice, double total,
                                   TimePoint now) const;
 
-    // Expires the unused capacity beyond the burst at `now` if the slice's total is `total`, so that an idle
+    // Expires the unused quota beyond the burst at `now` if the slice's total is `total`, so that an idle
     // slice does not accumulate more than its burst.
-    void expireUnusedBurst(const Tenant& tenant, WindowSlice& slice, double total, TimePoint now);
+    void expireUnusedQuota(const Tenant& tenant, WindowSlice& slice, double total, TimePoint now);
 
-    // Calls expireUnusedBurst() for the current slice and its last known total. Does nothing for a tenant
+    // Calls expireUnusedQuota() for the current slice and its last known total. Does nothing for a tenant
     // without slices or a plan without a rate.
-    void expireCurrentSliceBurst(Tenant& tenant, TimePoint now);
+    void expireCurrentSliceQuota(Tenant& tenant, TimePoint now);
 
     // Returns the time until the last known total of the current slice leaves quota for `cost`; 0 if it
     // leaves enough now, if the tenant has no slices or if its plan has no rate.
@@ -69,10 +72,11 @@
 private:
     WindowSlice makeNextSlice(const Tenant& tenant, SliceIndex current) const;
     double maxBurst(const QuotaPlan& plan) const;
-    double unexpiredQuota(const Tenant& tenant, const WindowSlice& slice, double total, TimePoint now) const;
+    double quotaBeforeExpiry(const Tenant& tenant, const WindowSlice& slice, double total,
+                             TimePoint now) const;
 
     const Settings& settings_;
-    const UsageEstimator& usage_;
+    const UsageEstimator& estimator_;
 };
 
 }  // namespace gateway
