--- a/src/net/client/client_request.cpp
+++ b/src/net/client/client_request.cpp
@@ -19,8 +19,8 @@
 constexpr std::size_t kTenantIdDigits = 16;
 constexpr int kHexBase = 16;
 constexpr std::size_t kMaxRequestIdBytes = 128;
-// Upper bound of a request's timeout, as a multiple of its class's deadline. Limits how long a request id can
-// be in use.
+// A longer timeout is reduced to this multiple of the class's deadline. Limits how long a request id can be
+// in use.
 constexpr int kMaxTimeoutInDeadlines = 2;
 
 // ---- Values ---------------------------------------------------------------------------------------
@@ -65,8 +65,8 @@
 // The values of the header X-Metering, for example "units=2,spread=3,first=1". Absent values were not sent.
 struct Metering {
     std::optional<double> cost;
-    std::optional<int> entryPoints;
-    std::optional<int> firstEntryPoint;
+    std::optional<int> entryPoints;      // number of gateways that receive this tenant's requests
+    std::optional<int> firstEntryPoint;  // index of a gateway; only validated
 };
 
 // Reads one item, "name=value". Ignores items with unknown names. Returns false if the item is malformed.
--- a/src/net/client/client_request.h
+++ b/src/net/client/client_request.h
@@ -52,9 +52,9 @@
     RequestField field = RequestField::target;
 };
 
-// Validates a request. Accepts only requests that have exactly the protocol's form, because no other request
-// may reach an endpoint. `receivedAt` is when the first byte of the request was received; the request's
-// deadline is computed from it.
+// Validates a request. Rejects a request whose target, method, body or a required header is invalid, so that
+// it does not reach an endpoint. Ignores headers that it does not know. `receivedAt` is when the first byte
+// of the request was received; the request's deadline is computed from it.
 std::variant<ClientRequest, RequestError> parseClientRequest(const HttpRequest& message,
                                                              const RequestRules& rules, TimePoint receivedAt);
 
--- a/src/net/client/client_request_reader.cpp
+++ b/src/net/client/client_request_reader.cpp
@@ -40,7 +40,8 @@
         return Progress::rejected;
     }
     if (parser_->is_done()) return Progress::complete;
-    // After a complete header, Beast returns need_more only for a chunked body.
+    // After a complete header, Beast returns need_more only if the input ends within a chunk header or the
+    // trailer of a chunked body. If the input ends with the header, Beast returns no error.
     expectsContinue_ = ec == http::error::need_more && parser_->is_header_done() &&
                        boost::beast::iequals(parser_->get()[http::field::expect], "100-continue");
     return Progress::incomplete;
--- a/src/net/client/client_request_reader.h
+++ b/src/net/client/client_request_reader.h
@@ -44,7 +44,8 @@
     // Returns whether a part of a request was read and the rest has not been received.
     bool isPartial() const { return isPartial_; }
 
-    // Returns whether the client waits for a response 100 Continue before it sends the rest of the request.
+    // Returns whether the client asked for a response 100 Continue before it sends the rest of the request.
+    // True only for a chunked body, after a part of the header of a chunk was received.
     bool expectsContinue() const { return expectsContinue_; }
 
     // Returns when the first byte of the latest request was received.
--- a/src/net/client/client_server.cpp
+++ b/src/net/client/client_server.cpp
@@ -60,8 +60,8 @@
     isAccepting_ = false;
     if (!isListening_) return;
     if (ec) {
-        // The process is out of descriptors or memory. Without the pause, a client in the backlog would cause
-        // a busy loop of failing accepts.
+        // Usually the process is out of descriptors or memory. Without the pause, a client in the backlog
+        // would cause a busy loop of failing accepts.
         endIdleSession();
         timers_.schedule(kAcceptPause, [this] { accept(); });
         return;
@@ -101,7 +101,7 @@
 
 void ClientServer::answer(ClientSession& session, const ClientResponse& response) {
     session.answer(response);
-    accept();  // accept() may have waited for a session to become idle
+    accept();  // an earlier accept() may have started no accept because no session was idle
 }
 
 bool ClientServer::endIfDisconnected(ClientSession& session) {
--- a/src/net/client/client_server.h
+++ b/src/net/client/client_server.h
@@ -20,7 +20,8 @@
         std::size_t connections = 512;
         Duration listenAfterShutdown{};  // time from drain() until the listener closes
         Duration idleGracePeriod{};      // time from drain() until idle connections are closed
-        // Time for a client to start the first request on a connection, and to send a request completely.
+        // Time from accepting a connection until its first request is complete; for a later request, from the
+        // start of reading it until it is complete.
         Duration requestReadTimeout{};
         Duration responseWriteTimeout = std::chrono::seconds(10);  // for a client to receive a response
     };
@@ -45,7 +46,8 @@
     // Answers the session's request in flight.
     void answer(ClientSession& session, const ClientResponse& response);
 
-    // Ends the session that has been idle the longest, to free its descriptor. Returns false if none is idle.
+    // Ends the idle session that was accepted or read input longest ago, to free its descriptor. Returns
+    // false if no session is idle.
     bool evictIdleClient();
 
     // Ends the session if its client has closed the connection, even if the event loop has not reported that
@@ -84,7 +86,7 @@
     Limits limits_;
     Hooks hooks_;
     tcp::acceptor acceptor_;
-    std::list<SessionPtr> sessions_;  // the most recently active one at the back
+    std::list<SessionPtr> sessions_;  // the one that was accepted or read input last at the back
     bool isAccepting_ = false;        // an accept is pending, or none may be started now
     bool isDraining_ = false;
     bool isListening_ = false;
--- a/src/net/client/client_session.h
+++ b/src/net/client/client_session.h
@@ -23,7 +23,7 @@
     virtual ~ClientSessionObserver() = default;
 
     virtual const RequestRules& rules() const = 0;
-    // Returns whether the gateway has an endpoint list and can serve requests.
+    // Returns whether the gateway is ready as defined by Readiness, even if it is draining.
     virtual bool isReady() const = 0;
     // Returns whether the gateway is shutting down: it answers requests and closes idle connections.
     virtual bool isDraining() const = 0;
@@ -33,7 +33,8 @@
     virtual bool startRequest(ClientRequest&& request, const std::shared_ptr<ClientSession>& session) = 0;
     // Called when the session ends before its request was answered.
     virtual void onDisconnect(const RequestId& request) = 0;
-    // Called when the session starts to read a request or to wait for one.
+    // Called each time before the session reads input: when bytes were received while no request is in
+    // flight, and after a response if bytes of the next request had been received.
     virtual void onActive(ClientSession& session) = 0;
     // Called once, when the session has ended.
     virtual void onEnded(ClientSession& session) = 0;
@@ -72,9 +73,9 @@
     // Returns whether no response has been sent and no byte received.
     bool isUnused() { return isBeforeFirstResponse() && isIdle() && !hasInput(); }
 
-    // Returns for how long the client has been sending an incomplete request, or has not received a complete
-    // response; 0 if neither is the case. For the first request, the time is measured from the start of the
-    // connection.
+    // Returns how long the client has been sending an incomplete request, or how long ago a response was sent
+    // that the kernel has not accepted completely; 0 if neither is the case. For the first request, the time
+    // is measured from the start of the connection.
     Duration stalledFor(TimePoint now) const;
 
     // Returns when the session last received bytes or sent a response.
--- a/src/net/config/config.h
+++ b/src/net/config/config.h
@@ -28,8 +28,8 @@
     // Time from SIGTERM until client connections without a request are closed.
     Duration idleGracePeriod = kIdleGracePeriod;
     // With DiscoveryMode::push: how long a new process waits for the discovery agent's first list before it
-    // reports that it is ready, with the list of its configuration. The agent sends nothing while discovery
-    // is down.
+    // reports that it is ready with the cached endpoint list. The agent sends nothing while discovery is
+    // down.
     Duration initialUpdateWait = kInitialUpdateWait;
     // How long a new process with an empty endpoint list waits for another list before it reports that it is
     // ready. The wait is limited because a process that never becomes ready counts as failed.
@@ -37,7 +37,8 @@
     // How long a connection to an endpoint stays unused after a response. A surplus response that arrives in
     // this time is detected instead of being taken for the response to the next request.
     Duration reuseDelay = kReuseDelay;
-    // Time for a client to start the first request on a connection, and to send a request completely.
+    // Time from accepting a connection until its first request is complete; for a later request, from the
+    // start of reading it until it is complete.
     Duration requestReadTimeout = kRequestReadTimeout;
 };
 
@@ -47,7 +48,7 @@
     std::string name;
     Address listen;
     Address discovery;
-    std::optional<Address> counter;     // set if Settings::counterEnabled
+    std::optional<Address> counter;     // always set if Settings::counterEnabled
     std::uint64_t seed = 0;             // of the random number generators
     std::size_t maxDescriptors = 1024;  // file descriptors that the process may hold
     Settings settings;
@@ -59,8 +60,9 @@
     Timing timing;
 };
 
-// Why the configuration is read. EDGE_DISCOVERY overrides the key "discovery" of the file only in the initial
-// load: on a reload, the file is newer than the environment.
+// Why the configuration is read. In the initial load, EDGE_DISCOVERY overrides the key "discovery" of the
+// file. On a reload, the file is newer than the environment, so EDGE_DISCOVERY is used only if the file has
+// no address of discovery.
 enum class ConfigLoad { initial, reload };
 
 // Reads a configuration from the text of the file and from the environment variables that override it. Throws
