--- a/src/net/counter/counter_client.cpp
+++ b/src/net/counter/counter_client.cpp
@@ -107,7 +107,8 @@
 
 void CounterClient::changeChannelAddress(std::size_t index) {
     Channel& channel = channels_[index];
-    // A channel keeps at most one previous connection. Calls on an older one end as timed out.
+    // A channel keeps at most one previous connection. Calls on an older one end as timed out if they were
+    // written, and as connectFailed otherwise.
     const ConnectionPtr oldest = std::exchange(channel.previous, nullptr);
     if (oldest) oldest->failAll();
     const ConnectionPtr old = std::exchange(channel.current, nullptr);
--- a/src/net/counter/counter_client.h
+++ b/src/net/counter/counter_client.h
@@ -21,7 +21,9 @@
 class CounterClient final : private CounterConnectionObserver {
 public:
     struct Limits {
-        std::size_t channels = 8;  // the counter accepts at most 32 connections from a gateway
+        // Each channel has one connection, or two during a change of address. The counter accepts at most 32
+        // connections from a gateway.
+        std::size_t channels = 8;
         Duration callTimeout{};
         Duration connectTimeout{};
         ReclaimDescriptor reclaimDescriptor{};  // called when the process has no free descriptor
@@ -32,8 +34,8 @@
     CounterClient(boost::asio::io_context& ioContext, TimerQueue& timers, const tcp::endpoint& address,
                   const Limits& limits, ReplyHandler onReply);
 
-    // Starts a call, which the next flush() sends. Calls the ReplyHandler once for it, possibly before add()
-    // returns.
+    // Starts a call. It is sent by the next flush() or, if its channel can't write yet, as soon as the
+    // channel can. Calls the ReplyHandler once for it, possibly before add() returns.
     void add(const AddToCounter& call);
     void flush();
 
--- a/src/net/counter/counter_connection.cpp
+++ b/src/net/counter/counter_connection.cpp
@@ -144,6 +144,7 @@
     return response.keepAlive;
 }
 
+// Also called for an open connection that can't be used any further.
 void CounterConnection::onClosed() {
     const bool wasConnected = isOpen() || bytesWritten() > 0;
     // Informs the observer first, because failAll() can cause new calls, which must use another connection.
--- a/src/net/counter/counter_connection.h
+++ b/src/net/counter/counter_connection.h
@@ -30,7 +30,7 @@
     // Called once for each call, when the call has ended.
     virtual void onReply(const CounterConnection& connection, CounterReplied&& reply) = 0;
     // Called when the connection broke or could not be established, before onReply() is called for its calls.
-    // `wasConnected`: the connection had been established.
+    // `wasConnected`: the connection is still open, or bytes were written on it.
     virtual void onBroken(const CounterConnection& connection, bool wasConnected) = 0;
 };
 
--- a/src/net/discovery/poll_schedule.h
+++ b/src/net/discovery/poll_schedule.h
@@ -8,13 +8,14 @@
 
 namespace gateway::net {
 
-// The time within which the gateway must know a change of the endpoint list. It starts when discovery has the
-// change and is available, or with the last byte of a watch that fell silent, and holds however the calls
-// since then have failed.
+// The longest time until the gateway knows a change of the endpoint list, however many calls fail in between.
+// It is counted from when discovery has the change and is available or, if a watch fell silent, from the last
+// byte of the watch.
 constexpr Duration kUpdateDeadline = std::chrono::seconds(6);
 // The same after SIGHUP, which can change discovery's address.
 constexpr Duration kReloadDeadline = std::chrono::seconds(4);
-// The parts of these times that are reserved for a call to an available discovery.
+// The time that a call to an available discovery is assumed to take; no call is ended after it. It is
+// subtracted from kUpdateDeadline to compute the poll periods.
 constexpr Duration kMaxCallTime = std::chrono::milliseconds(1500);
 constexpr Duration kMaxCallTimeAfterSilence = std::chrono::milliseconds(1200);
 
@@ -22,7 +23,7 @@
 // broken.
 constexpr Duration kMaxSilence = std::chrono::milliseconds(2300);
 
-// Time for an agent on the same machine to accept a connection.
+// Push only: if a call is not connected after this time, the next call is made. The first one stays open.
 constexpr Duration kMaxConnectTime = std::chrono::seconds(1);
 
 // The times at which one gateway calls discovery: every t with t mod period == period * index / count on the
--- a/src/net/discovery/watch_stream.cpp
+++ b/src/net/discovery/watch_stream.cpp
@@ -111,8 +111,9 @@
     if (!hasSilenceTimer_) checkSilence();
 }
 
-// Ends a watch that has been silent for kMaxSilence, since its connection may be dead and changes may be
-// lost. The silence is measured from the last byte, because kUpdateDeadline is as well.
+// Reports a stream that has been silent for kMaxSilence, since its connection may be dead and changes may be
+// lost. Closes it unless a list is incomplete. The silence is measured from the last byte, because
+// kUpdateDeadline is as well.
 void WatchStream::checkSilence() {
     hasSilenceTimer_ = false;
     if (!isReceivingList_) return;
--- a/src/net/discovery/watch_stream.h
+++ b/src/net/discovery/watch_stream.h
@@ -27,7 +27,7 @@
 
     // Called when the connection is established and the first request was written.
     virtual void onRequestSent(const WatchStream& stream) = 0;
-    // Called when the first bytes of a list were received, and again when bytes follow a silence.
+    // Called when the first bytes of a response's body were received, and again when bytes follow a silence.
     virtual void onListStarted(const WatchStream& stream) = 0;
     // Called when the snapshot is complete and the request for the changes since then was written on the same
     // connection.
@@ -72,7 +72,7 @@
     WatchStreamObserver& observer_;
     TimerQueue& timers_;
     bool needsSnapshot_;
-    bool isReceivingList_ = false;  // a list has started, and no silence has been detected since
+    bool isReceivingList_ = false;  // a body has started, and no silence has been detected since
     bool hasSilenceTimer_ = false;  // a timer will call checkSilence()
     std::chrono::steady_clock::time_point lastReceivedAt_{};
     JsonDocumentStream documents_;
