--- a/src/settings/settings_validation.cpp
+++ b/src/settings/settings_validation.cpp
@@ -25,7 +25,7 @@
         require(value > Duration::zero(), field, "must be greater than 0");
     }
 
-    // Selects an entry of a list: the fields of the checks that follow are fields of that entry.
+    // Prefixes the fields of the following checks with `list[index].`.
     void enterItem(const std::string& list, std::size_t index) {
         prefix_ = list + "[" + std::to_string(index) + "].";
     }
--- a/src/simulator/event_reader.h
+++ b/src/simulator/event_reader.h
@@ -9,8 +9,8 @@
 
 namespace gateway::simulator {
 
-// Returns the event that a message reports, or nothing for a message that gateways validate and ignore.
-// Throws FieldError if the message is malformed or its name is unknown.
+// Returns the event that a message reports, or nothing for a message that is only validated. Throws
+// FieldError if the message is malformed or its name is unknown.
 std::optional<Event> readEvent(const std::string& name, const Fields& fields);
 
 }  // namespace gateway::simulator
