--- a/src/net/client/client_request.cpp
+++ b/src/net/client/client_request.cpp
@@ -21,7 +21,7 @@
 constexpr std::size_t kMaxRequestIdBytes = 128;
 // A longer timeout is reduced to this multiple of the class's deadline. Limits how long a request id can be
 // in use.
-constexpr int kMaxTimeoutInDeadlines = 2;
+constexpr int kMaxTimeoutDeadlineMultiple = 2;
 
 // ---- Values ---------------------------------------------------------------------------------------
 
@@ -144,7 +144,7 @@
                  RequestArrived& arrival) {
     const auto timeoutMs = parseNumber<std::uint32_t>(text);
     if (!timeoutMs || *timeoutMs == 0) return false;
-    const Duration maxTimeout = kMaxTimeoutInDeadlines * requestClass.deadline;
+    const Duration maxTimeout = kMaxTimeoutDeadlineMultiple * requestClass.deadline;
     arrival.deadline = receivedAt + std::min<Duration>(std::chrono::milliseconds(*timeoutMs), maxTimeout);
     return true;
 }
@@ -157,8 +157,8 @@
 
 // Reads the headers into `arrival`, and checks the body. Returns the first invalid part of the request, or
 // nothing if all are valid. Precondition: the request class of `arrival` is set.
-std::optional<RequestField> readHeaders(const HttpRequest& message, const RequestRules& rules,
-                                        TimePoint receivedAt, RequestArrived& arrival) {
+std::optional<RequestField> readHeadersAndCheckBody(const HttpRequest& message, const RequestRules& rules,
+                                                    TimePoint receivedAt, RequestArrived& arrival) {
     const int classIndex = static_cast<int>(arrival.requestClass);
     const RequestClass& requestClass = rules.classes[toPosition(arrival.requestClass)];
     if (findIndex(message["Request-Class"], rules.classNames) != classIndex)
@@ -201,7 +201,7 @@
     request.arrival.requestClass = RequestClassIndex{*classIndex};
     if (message.method() != methodOf(rules.classes[toPosition(request.arrival.requestClass)]))
         return RequestError{http::status::method_not_allowed, RequestField::method};
-    if (const auto invalid = readHeaders(message, rules, receivedAt, request.arrival))
+    if (const auto invalid = readHeadersAndCheckBody(message, rules, receivedAt, request.arrival))
         return RequestError{http::status::bad_request, *invalid};
     request.forwarded = makeForwardedRequest(message, request.arrival.request);
     return request;
--- a/src/net/client/client_request_reader.cpp
+++ b/src/net/client/client_request_reader.cpp
@@ -29,7 +29,7 @@
     if (!isPartial_) {
         isPartial_ = true;
         receivedAt_ = arrivals_.takeNextArrivalTime();
-        startedAt_ = now;
+        readingStartedAt_ = now;
     }
     error_code ec;
     const std::size_t used = parser_->put(input.data(), ec);
--- a/src/net/client/client_request_reader.h
+++ b/src/net/client/client_request_reader.h
@@ -53,7 +53,7 @@
 
     // Returns when read() was first called for the latest request. This is later than receivedAt() for a
     // pipelined request.
-    TimePoint startedAt() const { return startedAt_; }
+    TimePoint readingStartedAt() const { return readingStartedAt_; }
 
 private:
     void reset();
@@ -61,7 +61,7 @@
     std::optional<boost::beast::http::request_parser<boost::beast::http::string_body>> parser_;
     ArrivalLog arrivals_;
     TimePoint receivedAt_{};
-    TimePoint startedAt_{};
+    TimePoint readingStartedAt_{};
     boost::beast::http::status rejectionStatus_ = boost::beast::http::status::bad_request;
     bool isPartial_ = false;
     bool expectsContinue_ = false;
--- a/src/net/client/client_server.cpp
+++ b/src/net/client/client_server.cpp
@@ -44,20 +44,20 @@
 }
 
 void ClientServer::accept() {
-    if (isAccepting_ || !isListening_) return;
+    if (isAcceptPrevented_ || !isListening_) return;
     if (sessions_.size() >= limits_.connections) {
         // Makes room for a new client by ending an idle session. If no session is idle, new clients wait in
         // the listener's backlog.
         const bool hasEndedOne = endIdleSession();
         if (!hasEndedOne) return;
     }
-    isAccepting_ = true;
+    isAcceptPrevented_ = true;
     acceptor_.async_accept(
         [this](const error_code& ec, tcp::socket socket) { onAccepted(ec, std::move(socket)); });
 }
 
 void ClientServer::onAccepted(const error_code& ec, tcp::socket&& socket) {
-    isAccepting_ = false;
+    isAcceptPrevented_ = false;
     if (!isListening_) return;
     if (ec) {
         // Usually the process is out of descriptors or memory. Without the pause, a client in the backlog
@@ -90,10 +90,10 @@
 // Suppresses accepts while a session ends, and accepts the next client from the event loop. An accept before
 // this function returns would take the descriptor that the caller wants to free.
 bool ClientServer::evictIdleClient() {
-    const bool wasAccepting = std::exchange(isAccepting_, true);
+    const bool wasPrevented = std::exchange(isAcceptPrevented_, true);
     const bool evicted = endIdleSession();
-    isAccepting_ = wasAccepting;
-    if (!wasAccepting) timers_.schedule(Duration::zero(), [this] { accept(); });
+    isAcceptPrevented_ = wasPrevented;
+    if (!wasPrevented) timers_.schedule(Duration::zero(), [this] { accept(); });
     return evicted;
 }
 
--- a/src/net/client/client_server.h
+++ b/src/net/client/client_server.h
@@ -87,7 +87,7 @@
     Hooks hooks_;
     tcp::acceptor acceptor_;
     std::list<SessionPtr> sessions_;  // the one that was accepted or read input last at the back
-    bool isAccepting_ = false;        // an accept is pending, or none may be started now
+    bool isAcceptPrevented_ = false;  // an accept is pending, or evictIdleClient() is running
     bool isDraining_ = false;
     bool isListening_ = false;
     std::function<void()> onDrained_;
--- a/src/net/client/client_session.cpp
+++ b/src/net/client/client_session.cpp
@@ -27,7 +27,7 @@
     if (isBusy_ || isLingering_) return {};
     if (!isFlushed()) return now - blockedAt_;
     if (!reader_.isPartial()) return {};
-    return now - (isBeforeFirstResponse() ? acceptedAt_ : reader_.startedAt());
+    return now - (isBeforeFirstResponse() ? acceptedAt_ : reader_.readingStartedAt());
 }
 
 // ---- Responses ------------------------------------------------------------------------------------
@@ -115,7 +115,7 @@
     if (input().size() == 0) return;
     switch (reader_.read(input(), clock_.now())) {
         case ClientRequestReader::Progress::incomplete:
-            continueIncompleteRequest();
+            handleIncompleteRequest();
             break;
         case ClientRequestReader::Progress::rejected:
             answerAndClose(reader_.rejectionStatus());
@@ -131,7 +131,7 @@
     }
 }
 
-void ClientSession::continueIncompleteRequest() {
+void ClientSession::handleIncompleteRequest() {
     if (isDiscardingInput()) {  // the rest of the request was dropped, so it can't be completed
         linger();
         return;
--- a/src/net/client/client_session.h
+++ b/src/net/client/client_session.h
@@ -87,7 +87,7 @@
     void onClosed() override { end(); }
 
     void readNext();
-    void continueIncompleteRequest();
+    void handleIncompleteRequest();
     void serve(const HttpRequest& message);
     void answerReadiness(const HttpRequest& message);
     void answerInvalid(boost::beast::http::status status);
--- a/tests/net/client/client_request_reader_test.cpp
+++ b/tests/net/client/client_request_reader_test.cpp
@@ -40,7 +40,7 @@
     EXPECT_EQ(reader.takeRequest().body(), "text");
     EXPECT_FALSE(reader.isPartial());
     EXPECT_EQ(reader.receivedAt(), start);
-    EXPECT_EQ(reader.startedAt(), start);
+    EXPECT_EQ(reader.readingStartedAt(), start);
 }
 
 TEST_F(ClientRequestReaderTest, RecordsArrivalOfPipelinedRequest) {
@@ -51,7 +51,7 @@
     now += milliseconds(50);
     EXPECT_EQ(reader.read(input, now), Progress::complete);
     EXPECT_EQ(reader.receivedAt(), start);
-    EXPECT_EQ(reader.startedAt(), now);
+    EXPECT_EQ(reader.readingStartedAt(), now);
 }
 
 TEST_F(ClientRequestReaderTest, RejectsTextThatIsNotHttpWith400) {
