--- a/src/net/client/client_server.cpp
+++ b/src/net/client/client_server.cpp
@@ -159,7 +159,7 @@
     isDraining_ = true;
     onDrained_ = std::move(done);
     timers_.schedule(limits_.idleGracePeriod, [this] { endIdleSessionsWhileDraining(); });
-    timers_.schedule(limits_.listenAfterShutdown, [this] { stopListening(); });
+    timers_.schedule(limits_.listenGracePeriod, [this] { stopListening(); });
 }
 
 // Accepts the connections in the listener's backlog first, because closing the listener would reset them.
--- a/src/net/client/client_server.h
+++ b/src/net/client/client_server.h
@@ -18,8 +18,8 @@
 public:
     struct Limits {
         std::size_t connections = 512;
-        Duration listenAfterShutdown{};  // time from drain() until the listener closes
-        Duration idleGracePeriod{};      // time from drain() until idle connections are closed
+        Duration listenGracePeriod{};  // time from drain() until the listener closes
+        Duration idleGracePeriod{};    // time from drain() until idle connections are closed
         // Time from accepting a connection until its first request is complete; for a later request, from the
         // start of reading it until it is complete.
         Duration requestReadTimeout{};
@@ -55,7 +55,7 @@
     // flight.
     static bool endIfDisconnected(ClientSession& session);
 
-    // Shuts down gracefully: continues to listen for Limits::listenAfterShutdown, answers the requests that
+    // Shuts down gracefully: continues to listen for Limits::listenGracePeriod, answers the requests that
     // clients have sent, and calls `done` when no session is left.
     void drain(std::function<void()> done);
 
--- a/src/net/config/config.h
+++ b/src/net/config/config.h
@@ -16,7 +16,7 @@
 
 // Time limits of the process. They can't be set in the configuration file; tests replace the defaults.
 struct Timing {
-    static constexpr Duration kListenAfterShutdown = std::chrono::milliseconds(500);
+    static constexpr Duration kListenGracePeriod = std::chrono::milliseconds(500);
     static constexpr Duration kIdleGracePeriod = std::chrono::milliseconds(250);
     static constexpr Duration kInitialUpdateWait = std::chrono::milliseconds(500);
     static constexpr Duration kEmptyListWait = std::chrono::seconds(5);
@@ -24,7 +24,7 @@
     static constexpr Duration kRequestReadTimeout = std::chrono::seconds(2);
 
     // Time from SIGTERM until the listener closes. New clients connect until they notice the shutdown.
-    Duration listenAfterShutdown = kListenAfterShutdown;
+    Duration listenGracePeriod = kListenGracePeriod;
     // Time from SIGTERM until client connections without a request are closed.
     Duration idleGracePeriod = kIdleGracePeriod;
     // With DiscoveryMode::push: how long a new process waits for the discovery agent's first list before it
--- a/src/net/server/component_options.cpp
+++ b/src/net/server/component_options.cpp
@@ -21,7 +21,7 @@
 ClientServer::Limits clientServerLimits(const Config& config) {
     ClientServer::Limits limits;
     limits.connections = config.maxDescriptors * kClientDescriptorPercent / 100;
-    limits.listenAfterShutdown = config.timing.listenAfterShutdown;
+    limits.listenGracePeriod = config.timing.listenGracePeriod;
     limits.idleGracePeriod = config.timing.idleGracePeriod;
     limits.requestReadTimeout = config.timing.requestReadTimeout;
     return limits;
--- a/tests/integration/gateway_shutdown_test.cpp
+++ b/tests/integration/gateway_shutdown_test.cpp
@@ -15,7 +15,7 @@
     // Starts a gateway that after SIGTERM keeps listening, and closes idle connections at once.
     void startGatewayThatKeepsListening(const SettingsSpec& settings = {}) {
         GatewayOptions options = optionsWithEndpoint(endpoint, settings);
-        options.timing.listenAfterShutdown = std::chrono::hours(1);
+        options.timing.listenGracePeriod = std::chrono::hours(1);
         options.timing.idleGracePeriod = std::chrono::milliseconds(1);
         startGateway(options);
     }
@@ -129,7 +129,7 @@
     settings.quotaBurst = 4;
     GatewayOptions options = optionsWithEndpoint(endpoint, settings);
     options.counter = counter.address();
-    options.timing.listenAfterShutdown = std::chrono::milliseconds(1);
+    options.timing.listenGracePeriod = std::chrono::milliseconds(1);
     options.timing.idleGracePeriod = std::chrono::milliseconds(1);
     startGateway(options);
     Socket client = connectClient();
--- a/tests/support/gateway_options.h
+++ b/tests/support/gateway_options.h
@@ -84,7 +84,7 @@
     using Milliseconds = std::chrono::milliseconds;
 
     // Long enough for a test on a slow machine to connect after SIGTERM.
-    Milliseconds listenAfterShutdown{3000};
+    Milliseconds listenGracePeriod{3000};
     Milliseconds idleGracePeriod{3000};
     Milliseconds initialUpdateWait{0};
     Milliseconds reuseDelay{0};
--- a/tests/support/gateway_process.cpp
+++ b/tests/support/gateway_process.cpp
@@ -31,7 +31,7 @@
 
 Timing toTiming(const TimingSpec& spec) {
     Timing timing;
-    timing.listenAfterShutdown = spec.listenAfterShutdown;
+    timing.listenGracePeriod = spec.listenGracePeriod;
     timing.idleGracePeriod = spec.idleGracePeriod;
     timing.initialUpdateWait = spec.initialUpdateWait;
     timing.reuseDelay = spec.reuseDelay;
