--- a/src/net/counter/counter_client.cpp
+++ b/src/net/counter/counter_client.cpp
@@ -57,7 +57,7 @@
 
 bool CounterClient::isIdle() const {
     const auto hasNoCalls = [](const ConnectionPtr& connection) {
-        return !connection || connection->isIdle();
+        return !connection || connection->hasReportedAllCalls();
     };
     return std::all_of(channels_.begin(), channels_.end(), [&](const Channel& channel) {
         return hasNoCalls(channel.current) && hasNoCalls(channel.previous);
@@ -70,7 +70,7 @@
     Channel& channel = channels_[index];
     if (channel.current && channel.current->isStale()) {
         const ConnectionPtr stale = std::exchange(channel.current, nullptr);
-        stale->failAll();
+        stale->closeAndEndCalls();
     }
     if (!channel.current && steady_clock::now() >= channel.connectNotBefore) connect(index);
     return channel.current;
@@ -110,17 +110,17 @@
     // A channel keeps at most one previous connection. Calls on an older one end as timed out if they were
     // written, and as connectFailed otherwise.
     const ConnectionPtr oldest = std::exchange(channel.previous, nullptr);
-    if (oldest) oldest->failAll();
+    if (oldest) oldest->closeAndEndCalls();
     const ConnectionPtr old = std::exchange(channel.current, nullptr);
-    if (old && old->isOpen() && !old->isIdle()) {
+    if (old && old->isOpen() && !old->hasReportedAllCalls()) {
         channel.previous = old;  // its calls end at their timeouts at the latest
         old->writeHeldCalls();
     } else if (old) {
-        old->failAll();
+        old->closeAndEndCalls();
     }
     channel.backoff = {};
     channel.connectNotBefore = {};
-    if (!channel.current) connect(index);  // a new call during failAll() has connected already
+    if (!channel.current) connect(index);  // a new call during closeAndEndCalls() has connected already
 }
 
 // The engine expects the replies for a name in the order of the calls, so a channel writes nothing to the new
@@ -133,7 +133,7 @@
 void CounterClient::onReply(const CounterConnection& connection, CounterReplied&& reply) {
     onReply_(std::move(reply));
     const Channel& channel = channels_[connection.channelIndex()];
-    if (channel.previous.get() != &connection || !connection.isIdle()) return;
+    if (channel.previous.get() != &connection || !connection.hasReportedAllCalls()) return;
     // Closes the connection from the event loop, since it may still be reading its input.
     timers_.schedule(Duration::zero(),
                      [this, index = connection.channelIndex(), weak = std::weak_ptr(channel.previous)] {
@@ -145,7 +145,7 @@
     Channel& channel = channels_[index];
     if (channel.previous != previous) return;
     channel.previous = nullptr;
-    previous->failAll();
+    previous->closeAndEndCalls();
     if (channel.current) channel.current->writeHeldCalls();
 }
 
--- a/src/net/counter/counter_connection.cpp
+++ b/src/net/counter/counter_connection.cpp
@@ -85,7 +85,7 @@
     observer_.onReply(*this, std::move(reply));
 }
 
-void CounterConnection::failAll(Outcome writtenOutcome) {
+void CounterConnection::closeAndEndCalls(Outcome writtenOutcome) {
     close();
     const std::deque<Call> calls = std::exchange(calls_, {});
     for (const Call& call : calls) {
@@ -101,7 +101,7 @@
     return now - calls_.front().startedAt > kMaxUnansweredTimeouts * callTimeout_;
 }
 
-bool CounterConnection::isIdle() const {
+bool CounterConnection::hasReportedAllCalls() const {
     return std::all_of(calls_.begin(), calls_.end(), [](const Call& call) { return call.hasTimedOut; });
 }
 
@@ -147,9 +147,10 @@
 // Also called for an open connection that can't be used any further.
 void CounterConnection::onClosed() {
     const bool wasConnected = isOpen() || bytesWritten() > 0;
-    // Informs the observer first, because failAll() can cause new calls, which must use another connection.
+    // Informs the observer first, because closeAndEndCalls() can cause new calls, which must use another
+    // connection.
     observer_.onBroken(*this, wasConnected);
-    failAll(Outcome::reset);
+    closeAndEndCalls(Outcome::reset);
 }
 
 }  // namespace gateway::net
--- a/src/net/counter/counter_connection.h
+++ b/src/net/counter/counter_connection.h
@@ -54,7 +54,7 @@
 
     // Closes the connection and reports all calls as ended. A call that was written completely ends with
     // `writtenOutcome`. Any other call ends with connectFailed, since the counter has not received it.
-    void failAll(Outcome writtenOutcome = Outcome::timedOut);
+    void closeAndEndCalls(Outcome writtenOutcome = Outcome::timedOut);
 
     // Returns whether the connection should not be used for another call: it has been idle for so long that
     // the counter may be closing it, or a call has been unanswered for so long that the connection is
@@ -62,7 +62,7 @@
     bool isStale() const;
 
     // Returns whether all calls have been reported. Responses to calls that timed out may still arrive.
-    bool isIdle() const;
+    bool hasReportedAllCalls() const;
 
 private:
     using SteadyTime = std::chrono::steady_clock::time_point;
