--- a/src/net/discovery/discovery_client.cpp
+++ b/src/net/discovery/discovery_client.cpp
@@ -78,7 +78,7 @@
     if (isNewestPending(stream)) scheduleCall(options_.schedule.delayAfterRequest(clock_.now()));
 }
 
-void DiscoveryClient::onListStarted(const WatchStream& stream) {
+void DiscoveryClient::onBodyStarted(const WatchStream& stream) {
     timers_.cancel(nextCall_);
     const std::vector<StreamPtr> answered = std::exchange(pending_, {});
     for (const StreamPtr& pending : answered) {
--- a/src/net/discovery/discovery_client.h
+++ b/src/net/discovery/discovery_client.h
@@ -53,7 +53,7 @@
     std::uint64_t knownVersion() const override { return options_.knownVersion; }
     const tcp::endpoint& address() const override { return options_.address; }
     void onRequestSent(const WatchStream& stream) override;
-    void onListStarted(const WatchStream& stream) override;
+    void onBodyStarted(const WatchStream& stream) override;
     void onWatchRequestSent(const WatchStream& stream) override;
     void onSilent(const WatchStream& stream, bool isListIncomplete) override;
     void onEnded(const WatchStream& stream) override;
--- a/src/net/discovery/watch_stream.cpp
+++ b/src/net/discovery/watch_stream.cpp
@@ -69,7 +69,7 @@
         return false;
     }
     const auto& body = parser_->get().body();
-    if (!body.empty()) reportListStarted();
+    if (!body.empty()) reportBodyStarted();
     if (!needsSnapshot_) readDocuments();
     if (body.size() + documents_.pendingBytes() > kMaxListBytes) {
         end();
@@ -95,7 +95,7 @@
         return false;
     }
     sendRequest();
-    isReceivingList_ = false;
+    isReceivingBody_ = false;
     observer_.onWatchRequestSent(*this);
     return true;
 }
@@ -104,10 +104,10 @@
 
 // Called when bytes of the body have been received. A status line or a header is no sign that the list will
 // follow soon.
-void WatchStream::reportListStarted() {
-    if (isReceivingList_) return;
-    isReceivingList_ = true;
-    observer_.onListStarted(*this);
+void WatchStream::reportBodyStarted() {
+    if (isReceivingBody_) return;
+    isReceivingBody_ = true;
+    observer_.onBodyStarted(*this);
     if (!hasSilenceTimer_) checkSilence();
 }
 
@@ -116,10 +116,10 @@
 // kUpdateDeadline is as well.
 void WatchStream::checkSilence() {
     hasSilenceTimer_ = false;
-    if (!isReceivingList_) return;
+    if (!isReceivingBody_) return;
     const auto silence = steady_clock::now() - lastReceivedAt_;
     if (silence >= kMaxSilence) {
-        isReceivingList_ = false;
+        isReceivingBody_ = false;
         const bool isListIncomplete = needsSnapshot_ || documents_.pendingBytes() > 0;
         if (!isListIncomplete) close();
         observer_.onSilent(*this, isListIncomplete);
--- a/src/net/discovery/watch_stream.h
+++ b/src/net/discovery/watch_stream.h
@@ -28,7 +28,7 @@
     // Called when the connection is established and the first request was written.
     virtual void onRequestSent(const WatchStream& stream) = 0;
     // Called when the first bytes of a response's body were received, and again when bytes follow a silence.
-    virtual void onListStarted(const WatchStream& stream) = 0;
+    virtual void onBodyStarted(const WatchStream& stream) = 0;
     // Called when the snapshot is complete and the request for the changes since then was written on the same
     // connection.
     virtual void onWatchRequestSent(const WatchStream& stream) = 0;
@@ -65,14 +65,14 @@
     bool readResponse(error_code& ec);
     void readDocuments();
     bool finishSnapshot();
-    void reportListStarted();
+    void reportBodyStarted();
     void checkSilence();
     void end();
 
     WatchStreamObserver& observer_;
     TimerQueue& timers_;
     bool needsSnapshot_;
-    bool isReceivingList_ = false;  // a body has started, and no silence has been detected since
+    bool isReceivingBody_ = false;  // a body has started, and no silence has been detected since
     bool hasSilenceTimer_ = false;  // a timer will call checkSilence()
     std::chrono::steady_clock::time_point lastReceivedAt_{};
     JsonDocumentStream documents_;
