--- a/src/net/config/config.cpp
+++ b/src/net/config/config.cpp
@@ -73,7 +73,7 @@
         settings.forEach("contracts",
                          [&](const Fields& item) { config.planNames.push_back(item.text("name")); });
     config.upstreamKeepAlive = settings.object("allowed").seconds("keepaliveS", kDefaultKeepAliveSeconds);
-    config.vocabulary = {readNames(settings, "zones"), readNames(settings, "kinds")};
+    config.zoneAndKindNames = {readNames(settings, "zones"), readNames(settings, "kinds")};
 }
 
 }  // namespace
@@ -88,7 +88,7 @@
         readLimits(fields, config);
         readGatewaySettings(fields, config);
         if (fields.has("known"))
-            config.cachedEndpoints = readEndpointList(fields.object("known"), config.vocabulary);
+            config.cachedEndpoints = readEndpointList(fields.object("known"), config.zoneAndKindNames);
         return config;
     });
 }
--- a/src/net/config/config.h
+++ b/src/net/config/config.h
@@ -55,7 +55,7 @@
     std::vector<std::string> classNames;  // in the order of Settings::classes
     std::vector<std::string> planNames;   // in the order of Settings::plans
     Duration upstreamKeepAlive{};         // an endpoint closes a connection that is idle for this long
-    EndpointVocabulary vocabulary;
+    ZoneAndKindNames zoneAndKindNames;
     EndpointList cachedEndpoints;  // the endpoint list to start with; may be outdated
     Timing timing;
 };
--- a/src/net/discovery/discovery_client.cpp
+++ b/src/net/discovery/discovery_client.cpp
@@ -130,7 +130,7 @@
 // changes since the last valid version.
 EndpointList DiscoveryClient::parse(std::string_view document) const {
     try {
-        return parseEndpointList(document, options_.vocabulary);
+        return parseEndpointList(document, options_.zoneAndKindNames);
     } catch (const std::exception& e) {
         log(LogLevel::warning, "discovery",
             std::string("received an invalid endpoint list: ") + e.what() +
--- a/src/net/discovery/discovery_client.h
+++ b/src/net/discovery/discovery_client.h
@@ -27,7 +27,7 @@
 
     struct Options {
         tcp::endpoint address;
-        EndpointVocabulary vocabulary;
+        ZoneAndKindNames zoneAndKindNames;
         std::uint64_t knownVersion = 0;  // the version of the list that is known at the start
         PollSchedule schedule;
         ReclaimDescriptor reclaimDescriptor;  // called when the process has no free descriptor
--- a/src/net/discovery/endpoint_list.cpp
+++ b/src/net/discovery/endpoint_list.cpp
@@ -15,7 +15,7 @@
     return static_cast<int>(std::find(names.begin(), names.end(), name) - names.begin());
 }
 
-ResolvedEndpoint readEndpoint(const Fields& fields, const EndpointVocabulary& vocabulary) {
+ResolvedEndpoint readEndpoint(const Fields& fields, const ZoneAndKindNames& zoneAndKindNames) {
     ResolvedEndpoint endpoint;
     EndpointEntry& entry = endpoint.entry;
     entry.id = EndpointId(fields.text("name"));
@@ -24,8 +24,8 @@
                                                                 {"terminated", Availability::removed}});
     if (entry.availability != Availability::removed || fields.has("address"))
         endpoint.address = parseAddress(fields.text("address"), fields.pathTo("address"));
-    if (fields.has("zone")) entry.zone = ZoneId{indexOf(fields.text("zone"), vocabulary.zones)};
-    if (fields.has("type")) entry.kind = MachineKind{indexOf(fields.text("type"), vocabulary.kinds)};
+    if (fields.has("zone")) entry.zone = ZoneId{indexOf(fields.text("zone"), zoneAndKindNames.zones)};
+    if (fields.has("type")) entry.kind = MachineKind{indexOf(fields.text("type"), zoneAndKindNames.kinds)};
     entry.cell = CellId{fields.integer("group", 0)};
     entry.weight = fields.number("weight", 1);
     entry.startedAt = TimePoint(Duration(std::llround(fields.number("since_ms", 0) * kMicrosPerMilli)));
@@ -34,19 +34,20 @@
 
 }  // namespace
 
-EndpointList readEndpointList(const Fields& fields, const EndpointVocabulary& vocabulary) {
+EndpointList readEndpointList(const Fields& fields, const ZoneAndKindNames& zoneAndKindNames) {
     EndpointList list;
     list.version = fields.unsignedInteger("index");
     list.isSnapshot = fields.flag("snapshot");
-    fields.forEach("endpoints",
-                   [&](const Fields& item) { list.endpoints.push_back(readEndpoint(item, vocabulary)); });
+    fields.forEach("endpoints", [&](const Fields& item) {
+        list.endpoints.push_back(readEndpoint(item, zoneAndKindNames));
+    });
     return list;
 }
 
-EndpointList parseEndpointList(std::string_view text, const EndpointVocabulary& vocabulary) {
+EndpointList parseEndpointList(std::string_view text, const ZoneAndKindNames& zoneAndKindNames) {
     return rethrowFieldErrorAs<EndpointListError>([&] {
         const Json document = parseJson(text, "targets");
-        return readEndpointList(Fields(document, "targets"), vocabulary);
+        return readEndpointList(Fields(document, "targets"), zoneAndKindNames);
     });
 }
 
--- a/src/net/discovery/endpoint_list.h
+++ b/src/net/discovery/endpoint_list.h
@@ -27,16 +27,16 @@
 
 // The names of zones and kinds of machine in documents, in the order of the settings. The index of a name is
 // its ZoneId or MachineKind.
-struct EndpointVocabulary {
+struct ZoneAndKindNames {
     std::vector<std::string> zones;
     std::vector<std::string> kinds;
 };
 
 // Reads a document from its JSON fields. Throws FieldError if it is malformed.
-EndpointList readEndpointList(const Fields& fields, const EndpointVocabulary& vocabulary);
+EndpointList readEndpointList(const Fields& fields, const ZoneAndKindNames& zoneAndKindNames);
 
 // Parses a document. Throws EndpointListError if it is malformed.
-EndpointList parseEndpointList(std::string_view text, const EndpointVocabulary& vocabulary);
+EndpointList parseEndpointList(std::string_view text, const ZoneAndKindNames& zoneAndKindNames);
 
 // Parses an IP address and a port, for example "10.0.0.4:7070". Throws FieldError for `place` if the text is
 // malformed.
--- a/src/net/server/component_options.cpp
+++ b/src/net/server/component_options.cpp
@@ -47,8 +47,8 @@
 }
 
 DiscoveryClient::Options discoveryClientOptions(const Config& config, ReclaimDescriptor reclaimDescriptor) {
-    return {config.discovery, config.vocabulary, config.cachedEndpoints.version, discoverySchedule(config),
-            std::move(reclaimDescriptor)};
+    return {config.discovery, config.zoneAndKindNames, config.cachedEndpoints.version,
+            discoverySchedule(config), std::move(reclaimDescriptor)};
 }
 
 RequestRules requestRules(const Config& config) {
--- a/tests/net/config/config_test.cpp
+++ b/tests/net/config/config_test.cpp
@@ -39,7 +39,7 @@
     EXPECT_EQ(config.maxDescriptors, 1024U);
     EXPECT_EQ(config.classNames, std::vector<std::string>{"load"});
     EXPECT_EQ(config.planNames, (std::vector<std::string>{"team", "free"}));
-    EXPECT_EQ(config.vocabulary.zones, (std::vector<std::string>{"a", "b"}));
+    EXPECT_EQ(config.zoneAndKindNames.zones, (std::vector<std::string>{"a", "b"}));
     EXPECT_EQ(config.cachedEndpoints.version, 41U);
 }
 
--- a/tests/net/discovery/endpoint_list_test.cpp
+++ b/tests/net/discovery/endpoint_list_test.cpp
@@ -8,7 +8,7 @@
 namespace gateway::net::test {
 namespace {
 
-const EndpointVocabulary kVocabulary{{"a", "b"}, {"m1", "m2"}};
+const ZoneAndKindNames kZoneAndKindNames{{"a", "b"}, {"m1", "m2"}};
 
 Json makeDocument() {
     return Json::parse(R"({"index":41,"snapshot":true,"endpoints":[
@@ -17,7 +17,7 @@
 }
 
 EndpointList parse(const Json& document) {
-    return parseEndpointList(document.dump(), kVocabulary);
+    return parseEndpointList(document.dump(), kZoneAndKindNames);
 }
 
 TEST(EndpointListTest, TranslatesDocument) {
@@ -70,7 +70,7 @@
 }
 
 TEST(EndpointListTest, RejectsTextThatIsNotJson) {
-    EXPECT_THROW(parseEndpointList("{", kVocabulary), EndpointListError);
+    EXPECT_THROW(parseEndpointList("{", kZoneAndKindNames), EndpointListError);
 }
 
 TEST(ParseAddressTest, RejectsMalformedAddresses) {
