--- a/src/net/discovery/poll_schedule.cpp
+++ b/src/net/discovery/poll_schedule.cpp
@@ -8,9 +8,9 @@
 using std::chrono::milliseconds;
 
 // The longest period that meets kUpdateDeadline.
-constexpr Duration kMaxPeriod = kUpdateDeadline - kMaxCallTime;
+constexpr Duration kMaxPeriod = kUpdateDeadline - kAssumedCallTime;
 constexpr Duration kMinPeriod = std::chrono::seconds(1);
-constexpr Duration kPeriodAfterSilence = kUpdateDeadline - kMaxSilence - kMaxCallTimeAfterSilence;
+constexpr Duration kPeriodAfterSilence = kUpdateDeadline - kMaxSilence - kAssumedCallTimeAfterSilence;
 constexpr Duration kPeriodAfterReload = milliseconds(1500);
 constexpr Duration kInitialBackoff = milliseconds(50);
 constexpr Duration kMaxBackoff = milliseconds(200);
@@ -45,7 +45,7 @@
 }
 
 Duration PollSchedule::delayAfterStart(TimePoint now) const {
-    return isPolling() ? untilSlot(now, regularPeriod_) : kMaxConnectTime;
+    return isPolling() ? untilSlot(now, regularPeriod_) : kPushConnectWait;
 }
 
 Duration PollSchedule::delayAfterRequest(TimePoint now) const {
--- a/src/net/discovery/poll_schedule.h
+++ b/src/net/discovery/poll_schedule.h
@@ -16,15 +16,15 @@
 constexpr Duration kReloadDeadline = std::chrono::seconds(4);
 // The time that a call to an available discovery is assumed to take; no call is ended after it. It is
 // subtracted from kUpdateDeadline to compute the poll periods.
-constexpr Duration kMaxCallTime = std::chrono::milliseconds(1500);
-constexpr Duration kMaxCallTimeAfterSilence = std::chrono::milliseconds(1200);
+constexpr Duration kAssumedCallTime = std::chrono::milliseconds(1500);
+constexpr Duration kAssumedCallTimeAfterSilence = std::chrono::milliseconds(1200);
 
 // Discovery sends bytes on every watch at least every 2 s. A watch without a byte for this long counts as
 // broken.
 constexpr Duration kMaxSilence = std::chrono::milliseconds(2300);
 
 // Push only: if a call is not connected after this time, the next call is made. The first one stays open.
-constexpr Duration kMaxConnectTime = std::chrono::seconds(1);
+constexpr Duration kPushConnectWait = std::chrono::seconds(1);
 
 // The times at which one gateway calls discovery: every t with t mod period == period * index / count on the
 // clock that all gateways share. This spreads the calls of a fleet evenly without coordination. Random times
--- a/tests/net/discovery/poll_schedule_test.cpp
+++ b/tests/net/discovery/poll_schedule_test.cpp
@@ -146,7 +146,7 @@
     const TimePoint call = OutageCalls(schedule, failure).firstCallAfterOutage(from, end);
     // The gateway detects a silent watch only after kMaxSilence.
     const bool isDetectedLate = failure == Failure::silent && outage < kMaxSilence;
-    return call + (isDetectedLate ? kMaxCallTimeAfterSilence : kMaxCallTime) - end;
+    return call + (isDetectedLate ? kAssumedCallTimeAfterSilence : kAssumedCallTime) - end;
 }
 
 TEST(PollScheduleTest, ListIsKnownByUpdateDeadlineAfterAnyFailureAndOutage) {
@@ -164,7 +164,7 @@
         }
     }
     std::cout << "longest: known " << inSeconds(longest) << " s after the outage, of which the call "
-              << inSeconds(kMaxCallTime) << " s\n";
+              << inSeconds(kAssumedCallTime) << " s\n";
     // Otherwise the gateway would call more often than the deadline requires.
     EXPECT_GT(longest, kUpdateDeadline - milliseconds(100));
 }
@@ -180,7 +180,7 @@
                 // A pending call is answered after the outage, but the gateway makes a newer one anyway.
                 const bool isPending = failure == Failure::unanswered || failure == Failure::silent;
                 ASSERT_LE(wait,
-                          isPending ? kMaxSilence + milliseconds(2) : kMaxConnectTime + milliseconds(200))
+                          isPending ? kMaxSilence + milliseconds(2) : kPushConnectWait + milliseconds(200))
                     << failure;
                 if (failure == Failure::refused || failure == Failure::broken)
                     longest = std::max(longest, wait);
@@ -195,7 +195,7 @@
         for (TimePoint reload = kStart; reload < kStart + seconds(5); reload += kOutageStep) {
             PollSchedule schedule = PollSchedule::poll(index, kFleetSize, seconds(10), kSeed);
             const TimePoint first = reload + schedule.delayAfterReload(reload);
-            ASSERT_LE(first + kMaxCallTime, reload + kReloadDeadline - seconds(1));
+            ASSERT_LE(first + kAssumedCallTime, reload + kReloadDeadline - seconds(1));
             const TimePoint rejected = first + milliseconds(5);
             const TimePoint second = rejected + schedule.delayAfterFailure(rejected);
             ASSERT_LE(second, reload + seconds(3));
