--- a/src/net/discovery/discovery_client.h
+++ b/src/net/discovery/discovery_client.h
@@ -6,16 +6,16 @@
 #include <memory>
 #include <vector>
 
+#include "net/discovery/discovery_schedule.h"
 #include "net/discovery/endpoint_list.h"
-#include "net/discovery/poll_schedule.h"
 #include "net/discovery/watch_stream.h"
 #include "net/transport/clock.h"
 #include "net/transport/timer_queue.h"
 
 namespace gateway::net {
 
-// Calls discovery at the times of a PollSchedule, watches the endpoint list, and passes every snapshot and
-// change to the UpdateHandler in order.
+// Calls discovery at the times of a DiscoverySchedule, watches the endpoint list, and passes every snapshot
+// and change to the UpdateHandler in order.
 //
 // While a call is unanswered, one newer call can be made. The older call stays open, since a list that takes
 // long to start would never be received if every call were closed by the next one. The call that is answered
@@ -29,7 +29,7 @@
         tcp::endpoint address;
         ZoneAndKindNames zoneAndKindNames;
         std::uint64_t knownVersion = 0;  // the version of the list that is known at the start
-        PollSchedule schedule;
+        DiscoverySchedule schedule;
         ReclaimDescriptor reclaimDescriptor;  // called when the process has no free descriptor
     };
 
--- a/src/net/discovery/poll_schedule.cpp
+++ b/src/net/discovery/discovery_schedule.cpp
@@ -1,4 +1,4 @@
-#include "net/discovery/poll_schedule.h"
+#include "net/discovery/discovery_schedule.h"
 
 #include <algorithm>
 
@@ -28,62 +28,62 @@
     return sinceSlot < Duration::zero() ? -sinceSlot : period - sinceSlot;
 }
 
-// ---- PollSchedule ---------------------------------------------------------------------------------
+// ---- DiscoverySchedule ----------------------------------------------------------------------------
 
-PollSchedule::PollSchedule(const PollSlots& slots, Duration regularPeriod, std::uint64_t seed)
+DiscoverySchedule::DiscoverySchedule(const PollSlots& slots, Duration regularPeriod, std::uint64_t seed)
     : slots_(slots), regularPeriod_(regularPeriod), backoff_(kInitialBackoff, kMaxBackoff, seed) {}
 
-PollSchedule PollSchedule::push(std::uint64_t seed) {
-    return PollSchedule(PollSlots(0, 1), Duration::zero(), seed);
+DiscoverySchedule DiscoverySchedule::forPush(std::uint64_t seed) {
+    return DiscoverySchedule(PollSlots(0, 1), Duration::zero(), seed);
 }
 
-PollSchedule PollSchedule::poll(int gatewayIndex, int gatewayCount, Duration maxPollInterval,
-                                std::uint64_t seed) {
+DiscoverySchedule DiscoverySchedule::forPolling(int gatewayIndex, int gatewayCount, Duration maxPollInterval,
+                                                std::uint64_t seed) {
     const bool hasLimit = maxPollInterval > Duration::zero();
     const Duration period = hasLimit ? std::clamp(maxPollInterval, kMinPeriod, kMaxPeriod) : kMaxPeriod;
-    return PollSchedule(PollSlots(gatewayIndex, gatewayCount), period, seed);
+    return DiscoverySchedule(PollSlots(gatewayIndex, gatewayCount), period, seed);
 }
 
-Duration PollSchedule::delayAfterStart(TimePoint now) const {
+Duration DiscoverySchedule::delayAfterStart(TimePoint now) const {
     return isPolling() ? untilSlot(now, regularPeriod_) : kPushConnectWait;
 }
 
-Duration PollSchedule::delayAfterRequest(TimePoint now) const {
+Duration DiscoverySchedule::delayAfterRequest(TimePoint now) const {
     return isPolling() ? untilSlot(now, regularPeriod_) : kMaxSilence;
 }
 
-Duration PollSchedule::delayAfterFailure(TimePoint now) {
+Duration DiscoverySchedule::delayAfterFailure(TimePoint now) {
     if (!isPolling()) return backoff_.next();
     return untilSlot(now, now < fastPollUntil_ ? fastPollPeriod_ : regularPeriod_);
 }
 
-Duration PollSchedule::delayAfterSilence(TimePoint now) {
+Duration DiscoverySchedule::delayAfterSilence(TimePoint now) {
     if (!isPolling()) return Duration::zero();
     return startFastPolling(now, kUpdateDeadline - kMaxSilence, kPeriodAfterSilence);
 }
 
-Duration PollSchedule::delayAfterReload(TimePoint now) {
+Duration DiscoverySchedule::delayAfterReload(TimePoint now) {
     backoff_.reset();
     if (!isPolling()) return Duration::zero();
     return startFastPolling(now, kReloadDeadline, kPeriodAfterReload);
 }
 
-Duration PollSchedule::delayAfterDescriptorShortage() {
+Duration DiscoverySchedule::delayAfterDescriptorShortage() {
     return backoff_.next();
 }
 
-void PollSchedule::recordListReceived() {
+void DiscoverySchedule::recordListReceived() {
     backoff_.reset();
     fastPollUntil_ = TimePoint::min();
 }
 
-Duration PollSchedule::startFastPolling(TimePoint now, Duration duration, Duration period) {
+Duration DiscoverySchedule::startFastPolling(TimePoint now, Duration duration, Duration period) {
     fastPollUntil_ = now + duration;
     fastPollPeriod_ = period;
     return untilSlot(now, period);
 }
 
-Duration PollSchedule::untilSlot(TimePoint now, Duration period) const {
+Duration DiscoverySchedule::untilSlot(TimePoint now, Duration period) const {
     return slots_.untilNext(now, std::min(period, regularPeriod_));
 }
 
--- a/src/net/discovery/poll_schedule.h
+++ b/src/net/discovery/discovery_schedule.h
@@ -44,15 +44,15 @@
 
 // Decides when discovery is called next. Each delay function returns the time from `now` until the next call,
 // which replaces the time that was returned before.
-class PollSchedule {
+class DiscoverySchedule {
 public:
     // Returns the schedule for an agent on the same machine, which is called without waiting for a slot.
-    static PollSchedule push(std::uint64_t seed);
+    static DiscoverySchedule forPush(std::uint64_t seed);
 
     // Returns the schedule for a service that all gateways poll, which queues their calls. `maxPollInterval`
     // is the longest time between two calls of this gateway; 0: no such limit.
-    static PollSchedule poll(int gatewayIndex, int gatewayCount, Duration maxPollInterval,
-                             std::uint64_t seed);
+    static DiscoverySchedule forPolling(int gatewayIndex, int gatewayCount, Duration maxPollInterval,
+                                        std::uint64_t seed);
 
     // After a call was started. Applies unless the call's progress causes another delay.
     Duration delayAfterStart(TimePoint now) const;
@@ -71,7 +71,7 @@
     void recordListReceived();
 
 private:
-    PollSchedule(const PollSlots& slots, Duration regularPeriod, std::uint64_t seed);
+    DiscoverySchedule(const PollSlots& slots, Duration regularPeriod, std::uint64_t seed);
 
     bool isPolling() const { return regularPeriod_ > Duration::zero(); }
     // Polls with `period` for the time `duration` from `now`. Returns the time until the next slot.
--- a/src/net/discovery/watch_stream.cpp
+++ b/src/net/discovery/watch_stream.cpp
@@ -2,7 +2,7 @@
 
 #include <sstream>
 
-#include "net/discovery/poll_schedule.h"
+#include "net/discovery/discovery_schedule.h"
 
 namespace gateway::net {
 
--- a/src/net/server/component_options.cpp
+++ b/src/net/server/component_options.cpp
@@ -9,11 +9,11 @@
 constexpr std::size_t kClientDescriptorPercent = 50;
 constexpr std::size_t kUpstreamDescriptorPercent = 40;
 
-PollSchedule discoverySchedule(const Config& config) {
+DiscoverySchedule discoverySchedule(const Config& config) {
     const Settings& settings = config.settings;
-    if (settings.discovery == DiscoveryMode::push) return PollSchedule::push(config.seed);
-    return PollSchedule::poll(settings.gatewayIndex, settings.gatewayCount, settings.maxPollInterval,
-                              config.seed);
+    if (settings.discovery == DiscoveryMode::push) return DiscoverySchedule::forPush(config.seed);
+    return DiscoverySchedule::forPolling(settings.gatewayIndex, settings.gatewayCount,
+                                         settings.maxPollInterval, config.seed);
 }
 
 }  // namespace
--- a/tests/integration/readiness_test.cpp
+++ b/tests/integration/readiness_test.cpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "net/config/config.h"
-#include "net/discovery/poll_schedule.h"
+#include "net/discovery/discovery_schedule.h"
 #include "support/failing_discovery.h"
 #include "support/gateway_test.h"
 
--- a/tests/net/discovery/poll_schedule_fleet_test.cpp
+++ b/tests/net/discovery/discovery_schedule_fleet_test.cpp
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-#include "net/discovery/poll_schedule.h"
+#include "net/discovery/discovery_schedule.h"
 
 namespace gateway::net::test {
 namespace {
@@ -40,10 +40,10 @@
     Backoff backoff_;
 };
 
-class SlotSchedule : public PollSchedule {
+class SlotSchedule : public DiscoverySchedule {
 public:
     SlotSchedule(int index, Duration maxPollInterval)
-        : PollSchedule(poll(index, kFleetSize, maxPollInterval, kSeed)) {}
+        : DiscoverySchedule(forPolling(index, kFleetSize, maxPollInterval, kSeed)) {}
     Duration delayAfterUnanswered(TimePoint now) const { return delayAfterStart(now); }
 };
 
--- a/tests/net/discovery/poll_schedule_test.cpp
+++ b/tests/net/discovery/discovery_schedule_test.cpp
@@ -1,5 +1,5 @@
 // Tests when one gateway calls discovery. Uses no sockets or clock.
-#include "net/discovery/poll_schedule.h"
+#include "net/discovery/discovery_schedule.h"
 
 #include <gtest/gtest.h>
 
@@ -76,7 +76,7 @@
 // Simulates the calls of one gateway during an outage, which all fail in the same way.
 class OutageCalls {
 public:
-    OutageCalls(PollSchedule& schedule, Failure failure) : schedule_(schedule), failure_(failure) {}
+    OutageCalls(DiscoverySchedule& schedule, Failure failure) : schedule_(schedule), failure_(failure) {}
 
     // Returns the start of the first call at or after `end`, the end of the outage. `from` is when the call
     // before the outage was started, or when the watch received its last byte.
@@ -133,7 +133,7 @@
         if (when < next_) next_ = when + schedule_.delayAfterFailure(when);
     }
 
-    PollSchedule& schedule_;
+    DiscoverySchedule& schedule_;
     Failure failure_;
     TimePoint next_{};
 };
@@ -142,14 +142,14 @@
 Duration timeUntilKnown(int index, Duration maxPollInterval, Failure failure, Duration outage) {
     const TimePoint from = kStart + Duration(index * 41'003);
     const TimePoint end = from + outage;
-    PollSchedule schedule = PollSchedule::poll(index, kFleetSize, maxPollInterval, kSeed);
+    DiscoverySchedule schedule = DiscoverySchedule::forPolling(index, kFleetSize, maxPollInterval, kSeed);
     const TimePoint call = OutageCalls(schedule, failure).firstCallAfterOutage(from, end);
     // The gateway detects a silent watch only after kMaxSilence.
     const bool isDetectedLate = failure == Failure::silent && outage < kMaxSilence;
     return call + (isDetectedLate ? kAssumedCallTimeAfterSilence : kAssumedCallTime) - end;
 }
 
-TEST(PollScheduleTest, ListIsKnownByUpdateDeadlineAfterAnyFailureAndOutage) {
+TEST(DiscoveryScheduleTest, ListIsKnownByUpdateDeadlineAfterAnyFailureAndOutage) {
     Duration longest{};
     for (const Duration maxPollInterval : {Duration::zero(), Duration(seconds(1)), Duration(seconds(10))}) {
         for (int index = 0; index < kFleetSize; ++index) {
@@ -169,12 +169,12 @@
     EXPECT_GT(longest, kUpdateDeadline - milliseconds(100));
 }
 
-TEST(PollScheduleTest, CallsAgentAgainAtOnce) {
+TEST(DiscoveryScheduleTest, CallsAgentAgainAtOnce) {
     Duration longest{};
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
         for (const Failure failure : kFailures) {
             for (Duration outage{}; outage <= kMaxOutage; outage += kOutageStep) {
-                PollSchedule schedule = PollSchedule::push(seed);
+                DiscoverySchedule schedule = DiscoverySchedule::forPush(seed);
                 const TimePoint end = kStart + outage;
                 const Duration wait = OutageCalls(schedule, failure).firstCallAfterOutage(kStart, end) - end;
                 // A pending call is answered after the outage, but the gateway makes a newer one anyway.
@@ -190,10 +190,10 @@
     EXPECT_LE(longest, milliseconds(201));
 }
 
-TEST(PollScheduleTest, CallsNewDiscoveryAgainByReloadDeadlineIfFirstCallIsRejected) {
+TEST(DiscoveryScheduleTest, CallsNewDiscoveryAgainByReloadDeadlineIfFirstCallIsRejected) {
     for (int index = 0; index < kFleetSize; ++index) {
         for (TimePoint reload = kStart; reload < kStart + seconds(5); reload += kOutageStep) {
-            PollSchedule schedule = PollSchedule::poll(index, kFleetSize, seconds(10), kSeed);
+            DiscoverySchedule schedule = DiscoverySchedule::forPolling(index, kFleetSize, seconds(10), kSeed);
             const TimePoint first = reload + schedule.delayAfterReload(reload);
             ASSERT_LE(first + kAssumedCallTime, reload + kReloadDeadline - seconds(1));
             const TimePoint rejected = first + milliseconds(5);
@@ -204,15 +204,16 @@
     }
 }
 
-TEST(PollScheduleTest, CallsNewAgentAtOnceAfterReload) {
-    PollSchedule schedule = PollSchedule::push(kSeed);
+TEST(DiscoveryScheduleTest, CallsNewAgentAtOnceAfterReload) {
+    DiscoverySchedule schedule = DiscoverySchedule::forPush(kSeed);
     EXPECT_EQ(schedule.delayAfterReload(kStart), Duration::zero());
 }
 
-TEST(PollScheduleTest, KeepsToMaxPollInterval) {
+TEST(DiscoveryScheduleTest, KeepsToMaxPollInterval) {
     for (const Duration maxPollInterval : {seconds(1), seconds(2), seconds(4)}) {
         for (int index = 0; index < kFleetSize; ++index) {
-            PollSchedule schedule = PollSchedule::poll(index, kFleetSize, maxPollInterval, kSeed);
+            DiscoverySchedule schedule =
+                DiscoverySchedule::forPolling(index, kFleetSize, maxPollInterval, kSeed);
             for (TimePoint now = kStart; now < kStart + seconds(10); now += Duration(99'991)) {
                 ASSERT_LE(schedule.delayAfterStart(now), maxPollInterval);
                 ASSERT_LE(schedule.delayAfterFailure(now), maxPollInterval);
