--- a/src/settings/settings_validation.cpp
+++ b/src/settings/settings_validation.cpp
@@ -8,7 +8,7 @@
 namespace gateway {
 namespace {
 
-constexpr std::string_view kNegative = "must not be negative";
+constexpr std::string_view kMustNotBeNegative = "must not be negative";
 
 // Runs checks and keeps the first problem that one of them finds.
 class Checker {
@@ -17,9 +17,11 @@
         if (!holds && !problem_)
             problem_ = SettingsProblem{prefix_ + std::string(field), std::string(reason)};
     }
-    void requireNotNegative(double value, std::string_view field) { require(!(value < 0), field, kNegative); }
+    void requireNotNegative(double value, std::string_view field) {
+        require(!(value < 0), field, kMustNotBeNegative);
+    }
     void requireNotNegative(Duration value, std::string_view field) {
-        require(value >= Duration::zero(), field, kNegative);
+        require(value >= Duration::zero(), field, kMustNotBeNegative);
     }
     void requirePositive(Duration value, std::string_view field) {
         require(value > Duration::zero(), field, "must be greater than 0");
