--- a/src/simulator/batch_server.cpp
+++ b/src/simulator/batch_handler.cpp
@@ -1,4 +1,4 @@
-#include "simulator/batch_server.h"
+#include "simulator/batch_handler.h"
 
 #include <utility>
 #include <variant>
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-std::optional<std::string> BatchServer::handleLine(const std::string& line) {
+std::optional<std::string> BatchHandler::handleLine(const std::string& line) {
     const Json message = parseMessage(line);
     const std::string& name = message.begin().key();
     const Fields fields(message.begin().value(), name);
@@ -39,20 +39,20 @@
     return std::nullopt;
 }
 
-void BatchServer::beginBatch(const Fields& fields) {
+void BatchHandler::beginBatch(const Fields& fields) {
     if (isInBatch_) fields.throwError("", "the previous batch has not ended: an eofBatch message is missing");
     now_ = fields.timePoint("momentS");
     isInBatch_ = true;
 }
 
-std::string BatchServer::endBatch() {
+std::string BatchHandler::endBatch() {
     isInBatch_ = false;
     std::string reply = std::exchange(reply_, {});
     reply += "{\"ready\":{}}\n";
     return reply;
 }
 
-void BatchServer::handleMessage(const std::string& name, const Fields& fields) {
+void BatchHandler::handleMessage(const std::string& name, const Fields& fields) {
     const int number = fields.integer("gatekeeper");
     if (name == "enlist") {
         startGateway(number, fields);
@@ -74,7 +74,7 @@
 }
 
 // Replaces a gateway that already has this number: the new one starts without any state.
-void BatchServer::startGateway(int number, const Fields& fields) {
+void BatchHandler::startGateway(int number, const Fields& fields) {
     Settings settings = readSettings(fields.object("info"));
     const int classCount = static_cast<int>(settings.classes.size());
     const int planCount = static_cast<int>(settings.plans.size());
@@ -82,7 +82,7 @@
     gateways_.insert_or_assign(number, Gateway{std::move(engine), classCount, planCount});
 }
 
-void BatchServer::handleEvent(int number, Gateway& gateway, const Event& event) {
+void BatchHandler::handleEvent(int number, Gateway& gateway, const Event& event) {
     actions_.clear();
     gateway.engine.handle(now_, event, actions_);
     for (const Action& action : actions_) {
@@ -92,7 +92,7 @@
 }
 
 // The engine doesn't check the indices in an event: they must exist in its settings.
-void BatchServer::checkIndices(const Gateway& gateway, const RequestArrived& arrival, const Fields& fields) {
+void BatchHandler::checkIndices(const Gateway& gateway, const RequestArrived& arrival, const Fields& fields) {
     const int classIndex = static_cast<int>(arrival.requestClass);
     if (classIndex < 0 || classIndex >= gateway.classCount)
         fields.throwError("priority", std::to_string(classIndex) + " is not an index into info.classes");
--- a/src/simulator/batch_server.h
+++ b/src/simulator/batch_handler.h
@@ -13,7 +13,7 @@
 
 // Handles one batch at a time: passes each event to its gateway's engine, and collects the engines' actions
 // until the batch ends. The gateways share no state.
-class BatchServer {
+class BatchHandler {
 public:
     // Handles one line, which holds one message. Returns the reply to the batch, as complete lines, if the
     // line ends the batch. Throws FieldError if the line is malformed.
--- a/src/simulator/stream_server.cpp
+++ b/src/simulator/stream_server.cpp
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "settings/json_fields.h"
-#include "simulator/batch_server.h"
+#include "simulator/batch_handler.h"
 
 namespace gateway::simulator {
 namespace {
@@ -17,13 +17,13 @@
 }  // namespace
 
 void serve(std::istream& in, std::ostream& out) {
-    BatchServer server;
+    BatchHandler handler;
     std::string line;
     for (std::size_t number = 1; std::getline(in, line); ++number) {
         if (isBlank(line)) continue;
         const std::string place = "line " + std::to_string(number) + ": ";
         try {
-            if (const std::optional<std::string> reply = server.handleLine(line)) {
+            if (const std::optional<std::string> reply = handler.handleLine(line)) {
                 out << *reply;
                 out.flush();
             }
@@ -33,7 +33,7 @@
             throw SimulatorInputError(place + "JSON", e.what());
         }
     }
-    if (server.isInBatch())
+    if (handler.isInBatch())
         throw SimulatorInputError("end of input",
                                   "the last batch has not ended: an eofBatch message is missing");
 }
