--- a/src/net/client/client_request_reader.h
+++ b/src/net/client/client_request_reader.h
@@ -44,7 +44,8 @@
     // Returns whether a part of a request was read and the rest has not been received.
     bool isPartial() const { return isPartial_; }
 
-    // Returns whether the client waits for a response 100 Continue before it sends the rest of the request.
+    // Returns whether the client asked for a response 100 Continue before it sends the rest of the request.
+    // True only for a chunked body, after a part of the header of a chunk was received.
     bool expectsContinue() const { return expectsContinue_; }
 
     // Returns when the first byte of the latest request was received.
@@ -52,7 +53,7 @@
 
     // Returns when read() was first called for the latest request. This is later than receivedAt() for a
     // pipelined request.
-    TimePoint startedAt() const { return startedAt_; }
+    TimePoint readingStartedAt() const { return readingStartedAt_; }
 
 private:
     void reset();
@@ -60,7 +61,7 @@
     std::optional<boost::beast::http::request_parser<boost::beast::http::string_body>> parser_;
     ArrivalLog arrivals_;
     TimePoint receivedAt_{};
-    TimePoint startedAt_{};
+    TimePoint readingStartedAt_{};
     boost::beast::http::status rejectionStatus_ = boost::beast::http::status::bad_request;
     bool isPartial_ = false;
     bool expectsContinue_ = false;
--- a/src/net/client/client_server.h
+++ b/src/net/client/client_server.h
@@ -18,9 +18,10 @@
 public:
     struct Limits {
         std::size_t connections = 512;
-        Duration listenAfterShutdown{};  // time from drain() until the listener closes
-        Duration idleGracePeriod{};      // time from drain() until idle connections are closed
-        // Time for a client to start the first request on a connection, and to send a request completely.
+        Duration listenGracePeriod{};  // time from drain() until the listener closes
+        Duration idleGracePeriod{};    // time from drain() until idle connections are closed
+        // Time from accepting a connection until its first request is complete; for a later request, from the
+        // start of reading it until it is complete.
         Duration requestReadTimeout{};
         Duration responseWriteTimeout = std::chrono::seconds(10);  // for a client to receive a response
     };
@@ -45,7 +46,8 @@
     // Answers the session's request in flight.
     void answer(ClientSession& session, const ClientResponse& response);
 
-    // Ends the session that has been idle the longest, to free its descriptor. Returns false if none is idle.
+    // Ends the idle session that was accepted or read input longest ago, to free its descriptor. Returns
+    // false if no session is idle.
     bool evictIdleClient();
 
     // Ends the session if its client has closed the connection, even if the event loop has not reported that
@@ -53,7 +55,7 @@
     // flight.
     static bool endIfDisconnected(ClientSession& session);
 
-    // Shuts down gracefully: continues to listen for Limits::listenAfterShutdown, answers the requests that
+    // Shuts down gracefully: continues to listen for Limits::listenGracePeriod, answers the requests that
     // clients have sent, and calls `done` when no session is left.
     void drain(std::function<void()> done);
 
@@ -84,8 +86,8 @@
     Limits limits_;
     Hooks hooks_;
     tcp::acceptor acceptor_;
-    std::list<SessionPtr> sessions_;  // the most recently active one at the back
-    bool isAccepting_ = false;        // an accept is pending, or none may be started now
+    std::list<SessionPtr> sessions_;  // the one that was accepted or read input last at the back
+    bool isAcceptPrevented_ = false;  // an accept is pending, or evictIdleClient() is running
     bool isDraining_ = false;
     bool isListening_ = false;
     std::function<void()> onDrained_;
--- a/src/net/discovery/discovery_client.cpp
+++ b/src/net/discovery/discovery_client.cpp
@@ -78,7 +78,7 @@
     if (isNewestPending(stream)) scheduleCall(options_.schedule.delayAfterRequest(clock_.now()));
 }
 
-void DiscoveryClient::onListStarted(const WatchStream& stream) {
+void DiscoveryClient::onBodyStarted(const WatchStream& stream) {
     timers_.cancel(nextCall_);
     const std::vector<StreamPtr> answered = std::exchange(pending_, {});
     for (const StreamPtr& pending : answered) {
@@ -130,7 +130,7 @@
 // changes since the last valid version.
 EndpointList DiscoveryClient::parse(std::string_view document) const {
     try {
-        return parseEndpointList(document, options_.vocabulary);
+        return parseEndpointList(document, options_.zoneAndKindNames);
     } catch (const std::exception& e) {
         log(LogLevel::warning, "discovery",
             std::string("received an invalid endpoint list: ") + e.what() +
--- a/src/net/discovery/poll_schedule.h
+++ b/src/net/discovery/discovery_schedule.h
@@ -8,22 +8,23 @@
 
 namespace gateway::net {
 
-// The time within which the gateway must know a change of the endpoint list. It starts when discovery has the
-// change and is available, or with the last byte of a watch that fell silent, and holds however the calls
-// since then have failed.
+// The longest time until the gateway knows a change of the endpoint list, however many calls fail in between.
+// It is counted from when discovery has the change and is available or, if a watch fell silent, from the last
+// byte of the watch.
 constexpr Duration kUpdateDeadline = std::chrono::seconds(6);
 // The same after SIGHUP, which can change discovery's address.
 constexpr Duration kReloadDeadline = std::chrono::seconds(4);
-// The parts of these times that are reserved for a call to an available discovery.
-constexpr Duration kMaxCallTime = std::chrono::milliseconds(1500);
-constexpr Duration kMaxCallTimeAfterSilence = std::chrono::milliseconds(1200);
+// The time that a call to an available discovery is assumed to take; no call is ended after it. It is
+// subtracted from kUpdateDeadline to compute the poll periods.
+constexpr Duration kAssumedCallTime = std::chrono::milliseconds(1500);
+constexpr Duration kAssumedCallTimeAfterSilence = std::chrono::milliseconds(1200);
 
 // Discovery sends bytes on every watch at least every 2 s. A watch without a byte for this long counts as
 // broken.
 constexpr Duration kMaxSilence = std::chrono::milliseconds(2300);
 
-// Time for an agent on the same machine to accept a connection.
-constexpr Duration kMaxConnectTime = std::chrono::seconds(1);
+// Push only: if a call is not connected after this time, the next call is made. The first one stays open.
+constexpr Duration kPushConnectWait = std::chrono::seconds(1);
 
 // The times at which one gateway calls discovery: every t with t mod period == period * index / count on the
 // clock that all gateways share. This spreads the calls of a fleet evenly without coordination. Random times
@@ -43,15 +44,15 @@
 
 // Decides when discovery is called next. Each delay function returns the time from `now` until the next call,
 // which replaces the time that was returned before.
-class PollSchedule {
+class DiscoverySchedule {
 public:
     // Returns the schedule for an agent on the same machine, which is called without waiting for a slot.
-    static PollSchedule push(std::uint64_t seed);
+    static DiscoverySchedule forPush(std::uint64_t seed);
 
     // Returns the schedule for a service that all gateways poll, which queues their calls. `maxPollInterval`
     // is the longest time between two calls of this gateway; 0: no such limit.
-    static PollSchedule poll(int gatewayIndex, int gatewayCount, Duration maxPollInterval,
-                             std::uint64_t seed);
+    static DiscoverySchedule forPolling(int gatewayIndex, int gatewayCount, Duration maxPollInterval,
+                                        std::uint64_t seed);
 
     // After a call was started. Applies unless the call's progress causes another delay.
     Duration delayAfterStart(TimePoint now) const;
@@ -70,7 +71,7 @@
     void recordListReceived();
 
 private:
-    PollSchedule(const PollSlots& slots, Duration regularPeriod, std::uint64_t seed);
+    DiscoverySchedule(const PollSlots& slots, Duration regularPeriod, std::uint64_t seed);
 
     bool isPolling() const { return regularPeriod_ > Duration::zero(); }
     // Polls with `period` for the time `duration` from `now`. Returns the time until the next slot.
--- a/src/net/server/component_options.cpp
+++ b/src/net/server/component_options.cpp
@@ -9,11 +9,11 @@
 constexpr std::size_t kClientDescriptorPercent = 50;
 constexpr std::size_t kUpstreamDescriptorPercent = 40;
 
-PollSchedule discoverySchedule(const Config& config) {
+DiscoverySchedule discoverySchedule(const Config& config) {
     const Settings& settings = config.settings;
-    if (settings.discovery == DiscoveryMode::push) return PollSchedule::push(config.seed);
-    return PollSchedule::poll(settings.gatewayIndex, settings.gatewayCount, settings.maxPollInterval,
-                              config.seed);
+    if (settings.discovery == DiscoveryMode::push) return DiscoverySchedule::forPush(config.seed);
+    return DiscoverySchedule::forPolling(settings.gatewayIndex, settings.gatewayCount,
+                                         settings.maxPollInterval, config.seed);
 }
 
 }  // namespace
@@ -21,7 +21,7 @@
 ClientServer::Limits clientServerLimits(const Config& config) {
     ClientServer::Limits limits;
     limits.connections = config.maxDescriptors * kClientDescriptorPercent / 100;
-    limits.listenAfterShutdown = config.timing.listenAfterShutdown;
+    limits.listenGracePeriod = config.timing.listenGracePeriod;
     limits.idleGracePeriod = config.timing.idleGracePeriod;
     limits.requestReadTimeout = config.timing.requestReadTimeout;
     return limits;
@@ -47,8 +47,8 @@
 }
 
 DiscoveryClient::Options discoveryClientOptions(const Config& config, ReclaimDescriptor reclaimDescriptor) {
-    return {config.discovery, config.vocabulary, config.cachedEndpoints.version, discoverySchedule(config),
-            std::move(reclaimDescriptor)};
+    return {config.discovery, config.zoneAndKindNames, config.cachedEndpoints.version,
+            discoverySchedule(config), std::move(reclaimDescriptor)};
 }
 
 RequestRules requestRules(const Config& config) {
