--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -121,14 +121,16 @@
     shutdown_.start(std::move(onComplete));
 }
 
-// Usage that the engine has not sent to the counter service yet is sent when a timer of the engine fires.
+// Returns whether no event is being handled, no timer of the engine is pending and no call to the counter
+// service is in flight. Usage that the engine has collected is sent when one of its timers fires.
 bool GatewayServer::isReconciled() const {
     return !dispatcher_.isDispatching() && engineTimersInFlight_ == 0 && (!counter_ || counter_->isIdle());
 }
 
 // ---- Descriptors ----------------------------------------------------------------------------------
 
-// Connections that the process needs have priority over idle connections, which may hold all descriptors.
+// A new connection has priority over an idle one. Idle connections may hold all descriptors that the process
+// can open.
 bool GatewayServer::reclaimDescriptor() {
     return clients_.evictIdleClient() || upstreams_.evictIdleConnection();
 }
@@ -171,8 +173,8 @@
 void GatewayServer::handleAttemptEnded(AttemptId id, AttemptResult&& result) {
     const std::optional<RequestRegistry::EndedAttempt> attempt = requests_.endAttempt(id);
     if (!attempt) return;
-    // The first complete response is forwarded to the client at once. Responses that arrive after the client
-    // was answered or has disconnected are dropped.
+    // The first response with status 200 is forwarded to the client at once. Responses that arrive after the
+    // client was answered or has disconnected are dropped.
     const bool isServed = result.outcome == Outcome::ok && attempt->isClientWaiting;
     if (isServed)
         answer(attempt->request, {http::status::ok, Duration::zero(), result.contentType, result.body});
--- a/src/net/server/gateway_server.h
+++ b/src/net/server/gateway_server.h
@@ -38,12 +38,13 @@
     // if listening on the configured address fails.
     void start();
 
-    // Makes sure that one file descriptor is free, for example to open a file. Closes an idle connection if
-    // none is free.
+    // If no file descriptor is free, closes an idle connection, if there is one. Called before a file is
+    // opened.
     void ensureFreeDescriptor();
 
-    // Changes the addresses of discovery and of the counter service to those in `config`. Ignores all other
-    // changes in `config`.
+    // Changes the addresses of discovery and of the counter service to those in `config`. The counter's
+    // address changes only if both the initial configuration and `config` have one. Ignores all other changes
+    // in `config`.
     void reload(const Config& config);
 
     // Shuts down gracefully, then calls `onComplete`: see GracefulShutdown. Must be called only once.
@@ -69,7 +70,7 @@
     void execute(const FailRequest& action);
     void execute(const AddToCounter& action);
     void execute(const SetTimer& action);
-    void execute(const WatchEndpoints&) {}  // start() has started to watch discovery
+    void execute(const WatchEndpoints&) {}  // start() starts the watch, whether or not the engine requests it
 
     static void disconnectIfClosed(const std::shared_ptr<ClientSession>& client);
     bool hasWaitingClient(const RequestId& id) const { return requests_.client(id) != nullptr; }
--- a/src/net/server/graceful_shutdown.h
+++ b/src/net/server/graceful_shutdown.h
@@ -8,14 +8,15 @@
 
 namespace gateway::net {
 
-// Drains the clients, then waits for at most 1 s until reconciliations and refunds have been sent to the
-// counter service, then stops discovery and reports completion.
+// Drains the clients, then waits for at most 1 s until no usage is pending, then stops discovery and reports
+// completion.
 class GracefulShutdown {
 public:
     struct Hooks {
         // Answers the accepted requests, and calls its argument when no client is connected any more.
         std::function<void(std::function<void()>)> drainClients;
-        // Returns whether all usage has been reported to the counter service.
+        // Returns whether no usage is waiting to be sent to the counter service and no call to the counter
+        // service is in flight.
         std::function<bool()> isReconciled;
         std::function<void()> stopDiscovery;
     };
--- a/src/net/server/readiness.h
+++ b/src/net/server/readiness.h
@@ -12,7 +12,7 @@
 class Readiness {
 public:
     struct Limits {
-        // How long a process that was configured with an empty endpoint list waits for another list.
+        // How long a process whose cached endpoint list is empty waits for another list.
         Duration emptyListWait{};
         // How long a process waits for the first update from discovery; 0: it does not wait.
         Duration initialUpdateWait{};
@@ -24,8 +24,8 @@
     // Records an endpoint list. A list of any kind but UpdateKind::cached is an update from discovery.
     void recordEndpointList(UpdateKind kind, bool isEmpty);
 
-    // Starts the waits. Precondition: the configured list has been recorded. `awaitsInitialUpdate`: discovery
-    // sends its list without a request, so it is worth waiting for.
+    // Starts the waits. Precondition: the cached endpoint list has been recorded. `awaitsInitialUpdate`:
+    // whether to wait for the first update from discovery.
     void start(bool awaitsInitialUpdate);
 
     bool isReady() const { return hasUsableList_ && isListCurrent_; }
--- a/src/net/server/request_registry.h
+++ b/src/net/server/request_registry.h
@@ -50,11 +50,11 @@
     // stays registered: call removeIfComplete() after using the client.
     std::shared_ptr<ClientSession> releaseClient(const RequestId& id);
 
-    // Starts the next attempt of a request. Returns nothing if the request is not registered.
+    // Registers the next attempt of a request. Returns nothing if the request is not registered.
     std::optional<StartedAttempt> startAttempt(const RequestId& id, const EndpointId& endpoint);
 
-    // Ends an attempt. Returns nothing if the attempt is not in flight. The request stays registered: call
-    // removeIfComplete() after processing the result.
+    // Records that an attempt has ended. Returns nothing if the attempt is not in flight. The request stays
+    // registered: call removeIfComplete() after processing the result.
     std::optional<EndedAttempt> endAttempt(AttemptId id);
 
     // Returns the request of an attempt in flight. Returns nothing for any other attempt.
--- a/src/net/server/service.h
+++ b/src/net/server/service.h
@@ -11,8 +11,8 @@
 // clients connect to.
 //
 // SIGTERM and SIGINT start the shutdown. SIGHUP reads the file EDGE_CONFIG again and changes the addresses of
-// discovery and of the counter service to those in it; if the file is invalid, the error is logged and
-// nothing changes.
+// discovery and of the counter service to those in it. The counter's address changes only if both `config`
+// and the file have one. If the file is invalid, the error is logged and nothing changes.
 //
 // Throws SettingsError if the settings are invalid, and boost::system::system_error if listening on the
 // configured address fails. Once the event loop runs, exceptions are logged and affect only the handler that
