--- a/src/net/transport/clock.h
+++ b/src/net/transport/clock.h
@@ -10,9 +10,9 @@
 // A point in time on this process's monotonic clock, for timeouts and ages.
 using SteadyTimePoint = std::chrono::steady_clock::time_point;
 
-// The clock that all gateways share: Unix time, read once at construction and advanced by the steady clock.
-// It never jumps, even if the system clock is changed. Window slices on the counter service and the start
-// times of endpoints are counted from its epoch.
+// The current time of FleetClock in this process: Unix time, read once at construction and advanced by the
+// steady clock. It never jumps, even if the system clock is changed. Window slices on the counter service and
+// the start times of endpoints are counted from the epoch of FleetClock.
 class Clock {
 public:
     TimePoint now() const { return at(std::chrono::steady_clock::now()); }
--- a/src/net/transport/tcp_connection.h
+++ b/src/net/transport/tcp_connection.h
@@ -19,7 +19,7 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-// Frees a file descriptor when the process has none left. Returns false if it can't free one.
+// Frees a file descriptor so that a socket can be opened. Returns false if it can't free one.
 using ReclaimDescriptor = std::function<bool()>;
 
 // The base class of all TCP connections of the process.
@@ -35,20 +35,19 @@
     TcpConnection& operator=(const TcpConnection&) = delete;
 
     // Connects to `peer`. Calls onConnected(), or onClosed() if connecting fails or takes longer than
-    // `timeout`, but never before returning. If the process has no file descriptor left, calls
-    // `reclaimDescriptor`, which may be empty, and tries once more if it returns true.
+    // `timeout`, but never before returning. If no socket can be opened, calls `reclaimDescriptor`,
+    // which may be empty, and tries once more if it returns true.
     void connect(const tcp::endpoint& peer, TimerQueue& timers, Duration timeout,
                  const ReclaimDescriptor& reclaimDescriptor = {});
 
     // Starts reading from an accepted connection. Precondition: constructed from a connected socket.
     void start();
 
-    // Returns whether connect() failed because this process has no file descriptor left. Such a failure says
-    // nothing about the peer.
+    // Returns whether connect() failed because no socket could be opened, usually because this process has no
+    // file descriptor left. Such a failure says nothing about the peer.
     bool isOutOfDescriptors() const { return isOutOfDescriptors_; }
 
-    // Returns whether received bytes have not been consumed, whether they are in input() or still in the
-    // kernel.
+    // Returns whether there are received bytes that were not consumed, in input() or still in the kernel.
     bool hasInput() { return input_.size() > 0 || peek() == PeekResult::bytes; }
 
     // Returns whether the connection is open and has no unconsumed bytes, in input() or in the kernel.
@@ -91,8 +90,8 @@
     // Constructs a connection for start().
     explicit TcpConnection(tcp::socket&& socket) : socket_(std::move(socket)) {}
 
-    // The bytes that were read and not consumed yet, at most 128 KiB. A connection that exceeds this limit is
-    // closed.
+    // The bytes that were read and not consumed yet, at most 128 KiB. A connection is closed if less than
+    // 4 KiB of this limit is left for the next read.
     boost::beast::flat_buffer& input() { return input_; }
 
     // Discards the input and all bytes that arrive from now on. Reading continues, because it detects the end
--- a/src/net/upstream/attempt_runner.cpp
+++ b/src/net/upstream/attempt_runner.cpp
@@ -112,7 +112,7 @@
     } else if (connection->isRequestWritten()) {
         finish(id, Outcome::reset);  // the endpoint may have run the request
     } else {
-        // Neither the loss of a connection that had been idle nor a lack of file descriptors in this process
+        // Neither the loss of a connection that had been idle nor a failure to open a socket in this process
         // says anything about the endpoint's health.
         const bool isEndpointAtFault = !connection->isReused() && !connection->isOutOfDescriptors();
         finish(id, isEndpointAtFault ? Outcome::connectFailed : Outcome::notSent);
--- a/src/net/upstream/attempt_runner.h
+++ b/src/net/upstream/attempt_runner.h
@@ -26,7 +26,7 @@
         std::size_t maxConnections = 256;       // over all endpoints, including idle connections
         Duration connectTimeout{};              // 0: only the attempt's timeout applies
         Duration drainGracePeriod{};            // during which attempts are sent to a draining endpoint
-        ReclaimDescriptor reclaimDescriptor{};  // called if the process has no file descriptor left
+        ReclaimDescriptor reclaimDescriptor{};  // called if no socket can be opened
     };
     struct Hooks {
         // Called once for each attempt when it ends, possibly before start() returns.
--- a/src/net/upstream/upstream_pool.h
+++ b/src/net/upstream/upstream_pool.h
@@ -23,7 +23,7 @@
         Duration keepAlive{};                   // endpoints close connections that were idle this long
         Duration drainGracePeriod{};            // during which attempts are sent to a draining endpoint
         Duration reuseDelay{};                  // before a connection is used again after a response
-        ReclaimDescriptor reclaimDescriptor{};  // called if the process has no file descriptor left
+        ReclaimDescriptor reclaimDescriptor{};  // called if no socket can be opened
     };
     using Hooks = AttemptRunner::Hooks;
     using AttemptOptions = AttemptRunner::Options;
