--- a/src/net/upstream/idle_connection_pool.cpp
+++ b/src/net/upstream/idle_connection_pool.cpp
@@ -31,7 +31,7 @@
     if (found == connections_.end()) return nullptr;
     IdleConnections& candidates = found->second;
     const SteadyTimePoint now = steady_clock::now();
-    // Skips the connections in their cool-down: they are the most recently used, at the back.
+    // Skips the connections that are within the reuse delay: the most recently used, at the back.
     const SteadyTimePoint cooldownStart = now - limits_.reuseDelay;
     auto end = candidates.end();
     while (end != candidates.begin() && std::prev(end)->idleSince > cooldownStart) --end;
@@ -39,7 +39,7 @@
         --end;
         const IdleConnection idle = std::move(*end);
         end = candidates.erase(end);
-        // Surplus bytes or the close of the connection may not have been read yet.
+        // Unsolicited bytes or the close of the connection may not have been read yet.
         if (!isExpired(idle, now) && idle.connection->isOpenWithoutInput()) return idle.connection;
         idle.connection->close();
     }
--- a/src/net/upstream/idle_connection_pool.h
+++ b/src/net/upstream/idle_connection_pool.h
@@ -13,24 +13,24 @@
 
 namespace gateway::net {
 
-// Holds connections between two attempts. A connection is not reused during a cool-down, so that a surplus
-// response is detected before it can be mistaken for the response to the next request. A connection that has
-// been idle for half of the endpoints' keep-alive time is closed, so that no request is written to a
-// connection that the endpoint is closing.
+// Holds the connections that no attempt uses. A connection is not reused within `reuseDelay` after a
+// response, so that an unsolicited response is detected before it can be mistaken for the response to the
+// next request. A connection that has been idle for half of the endpoints' keep-alive time is not reused and
+// is closed soon after, so that no request is written to a connection that the endpoint is closing.
 class IdleConnectionPool {
 public:
     using ConnectionPtr = std::shared_ptr<UpstreamConnection>;
 
     struct Limits {
         Duration keepAlive{};   // endpoints close connections that were idle this long; above 0
-        Duration reuseDelay{};  // cool-down after a response
+        Duration reuseDelay{};  // before a connection is used again after a response
     };
 
     // `timers` must outlive the pool. It must not run a timer after the pool is destroyed.
     IdleConnectionPool(TimerQueue& timers, const Limits& limits);
 
-    // The pool identifies an endpoint by the address of its object. An endpoint must not be destroyed while
-    // the pool holds connections to it: call closeAll() first.
+    // The pool identifies an endpoint by the pointer to its UpstreamEndpoint. An endpoint must not be
+    // destroyed while the pool holds connections to it: call closeAll() first.
 
     // Adds a connection that became idle at `idleSince`. Precondition: connections to one endpoint are added
     // in the order of `idleSince`.
@@ -45,7 +45,8 @@
 
     void closeAll(const UpstreamEndpoint& endpoint);
 
-    // Closes the connection of any endpoint that has been idle longest. Returns false if the pool is empty.
+    // Closes the connection, among those to all endpoints, that has been idle longest. Returns false if the
+    // pool is empty.
     bool evictOldest();
 
 private:
--- a/src/net/upstream/upstream_connection.cpp
+++ b/src/net/upstream/upstream_connection.cpp
@@ -84,7 +84,7 @@
         case ParseProgress::incomplete:
             limitResponseTime();
             break;
-        case ParseProgress::interim:  // the time limit starts with the final response
+        case ParseProgress::interim:  // the next response has not begun, so it has no limit yet
             break;
         case ParseProgress::complete:
             finishResponse();
--- a/src/net/upstream/upstream_connection.h
+++ b/src/net/upstream/upstream_connection.h
@@ -32,8 +32,8 @@
     // is closed after this call.
     virtual void onResponse(AttemptId attempt, AttemptResult&& result, bool isReusable) = 0;
 
-    // The connection failed, was closed by the endpoint or received a malformed response. It is closed.
-    // connection->attempt() returns the attempt that it carried, or AttemptId::none if it was idle.
+    // The connection failed, was closed by the endpoint or received a malformed response. It has already been
+    // closed. connection->attempt() returns the attempt that it carried, or AttemptId::none if it was idle.
     virtual void onBroken(const std::shared_ptr<UpstreamConnection>& connection) = 0;
 
     // Bytes were received while the connection was idle. It is still open.
