--- a/src/net/server/event_loop_dispatcher.cpp
+++ b/src/net/server/event_dispatcher.cpp
@@ -1,4 +1,4 @@
-#include "net/server/event_loop_dispatcher.h"
+#include "net/server/event_dispatcher.h"
 
 #include <exception>
 #include <string>
@@ -8,9 +8,9 @@
 
 namespace gateway::net {
 
-EventLoopDispatcher::EventLoopDispatcher(Handlers handlers) : handlers_(std::move(handlers)) {}
+EventDispatcher::EventDispatcher(Handlers handlers) : handlers_(std::move(handlers)) {}
 
-void EventLoopDispatcher::dispatch(Event event) {
+void EventDispatcher::dispatch(Event event) {
     events_.push_back(std::move(event));
     if (isDispatching_) return;
     isDispatching_ = true;
@@ -19,7 +19,7 @@
     handlers_.onQueueEmpty();
 }
 
-void EventLoopDispatcher::handleNextEvent() {
+void EventDispatcher::handleNextEvent() {
     actions_.clear();
     try {
         handlers_.handleEvent(events_.front(), actions_);
--- a/src/net/server/event_loop_dispatcher.h
+++ b/src/net/server/event_dispatcher.h
@@ -11,7 +11,7 @@
 
 // Executing an action can cause events at once. They are queued and handled in order after the remaining
 // actions of the current event, so that the engine is never called recursively.
-class EventLoopDispatcher {
+class EventDispatcher {
 public:
     struct Handlers {
         // Handles one event and appends the resulting actions. If it throws an exception, the exception is
@@ -23,7 +23,7 @@
         std::function<void()> onQueueEmpty;
     };
 
-    explicit EventLoopDispatcher(Handlers handlers);
+    explicit EventDispatcher(Handlers handlers);
 
     // Handles the event, and the events that its actions cause, before returning. If another event is being
     // handled, only queues the event.
--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -58,8 +58,8 @@
 
 // ---- Hooks ----------------------------------------------------------------------------------------
 
-EventLoopDispatcher::Handlers GatewayServer::dispatcherHandlers() {
-    EventLoopDispatcher::Handlers handlers;
+EventDispatcher::Handlers GatewayServer::dispatcherHandlers() {
+    EventDispatcher::Handlers handlers;
     handlers.handleEvent = [this](const Event& event, Actions& actions) {
         engine_.handle(clock_.now(), event, actions);
     };
--- a/src/net/server/gateway_server.h
+++ b/src/net/server/gateway_server.h
@@ -13,7 +13,7 @@
 #include "net/config/config.h"
 #include "net/counter/counter_client.h"
 #include "net/discovery/discovery_client.h"
-#include "net/server/event_loop_dispatcher.h"
+#include "net/server/event_dispatcher.h"
 #include "net/server/graceful_shutdown.h"
 #include "net/server/readiness.h"
 #include "net/server/request_registry.h"
@@ -54,7 +54,7 @@
     tcp::endpoint address() const { return clients_.address(); }
 
 private:
-    EventLoopDispatcher::Handlers dispatcherHandlers();
+    EventDispatcher::Handlers dispatcherHandlers();
     UpstreamPool::Hooks upstreamHooks();
     ClientServer::Hooks clientHooks();
     GracefulShutdown::Hooks shutdownHooks();
@@ -84,7 +84,7 @@
     TimerQueue timers_;
     DecisionEngine engine_;
     RequestRegistry requests_;
-    EventLoopDispatcher dispatcher_;
+    EventDispatcher dispatcher_;
     Readiness readiness_;
     UpstreamPool upstreams_;
     std::optional<CounterClient> counter_;  // absent if none is configured
--- a/tests/net/server/event_loop_dispatcher_test.cpp
+++ b/tests/net/server/event_dispatcher_test.cpp
@@ -1,4 +1,4 @@
-#include "net/server/event_loop_dispatcher.h"
+#include "net/server/event_dispatcher.h"
 
 #include <gtest/gtest.h>
 
@@ -12,12 +12,12 @@
 namespace {
 
 // Uses TimerFired as the event and SetTimer as the action. `calls` records the handlers' calls in order.
-class EventLoopDispatcherTest : public ::testing::Test {
+class EventDispatcherTest : public ::testing::Test {
 protected:
     static std::string idOf(TimerId timer) { return std::to_string(static_cast<std::uint64_t>(timer)); }
 
-    EventLoopDispatcher::Handlers handlers() {
-        EventLoopDispatcher::Handlers result;
+    EventDispatcher::Handlers handlers() {
+        EventDispatcher::Handlers result;
         result.handleEvent = [this](const Event& event, Actions& actions) {
             const TimerId timer = std::get<TimerFired>(event).timer;
             calls.push_back("event " + idOf(timer));
@@ -47,17 +47,17 @@
     std::vector<TimerId> actionsOfEvent;      // returned by the handler of the next event
     std::vector<TimerId> eventsOfAction;      // dispatched by the next action
     std::vector<TimerId> eventsOfEmptyQueue;  // dispatched by the next call of onQueueEmpty
-    EventLoopDispatcher dispatcher{handlers()};
+    EventDispatcher dispatcher{handlers()};
 };
 
-TEST_F(EventLoopDispatcherTest, ExecutesActionsInOrderBeforeReturning) {
+TEST_F(EventDispatcherTest, ExecutesActionsInOrderBeforeReturning) {
     actionsOfEvent = {TimerId{7}, TimerId{8}};
     dispatch(TimerId{1});
     EXPECT_EQ(calls, (std::vector<std::string>{"event 1", "action 7", "action 8", "queue empty"}));
     EXPECT_FALSE(dispatcher.isDispatching());
 }
 
-TEST_F(EventLoopDispatcherTest, ExecutesRemainingActionsBeforeEventsThatAnActionCauses) {
+TEST_F(EventDispatcherTest, ExecutesRemainingActionsBeforeEventsThatAnActionCauses) {
     actionsOfEvent = {TimerId{7}, TimerId{8}};
     eventsOfAction = {TimerId{2}, TimerId{3}};
     dispatch(TimerId{1});
@@ -65,13 +65,13 @@
                                                "queue empty"}));
 }
 
-TEST_F(EventLoopDispatcherTest, HandlesEventDispatchedWhenQueueIsEmpty) {
+TEST_F(EventDispatcherTest, HandlesEventDispatchedWhenQueueIsEmpty) {
     eventsOfEmptyQueue = {TimerId{2}};
     dispatch(TimerId{1});
     EXPECT_EQ(calls, (std::vector<std::string>{"event 1", "queue empty", "event 2", "queue empty"}));
 }
 
-TEST_F(EventLoopDispatcherTest, ContinuesAfterExceptionWithActionsAppendedBefore) {
+TEST_F(EventDispatcherTest, ContinuesAfterExceptionWithActionsAppendedBefore) {
     actionsOfEvent = {TimerId{7}};
     eventsOfAction = {TimerId{2}};
     dispatch(kThrowingEvent);
