--- a/src/net/server/component_options.cpp
+++ b/src/net/server/component_options.cpp
@@ -27,8 +27,8 @@
     return limits;
 }
 
-UpstreamPool::Limits upstreamPoolLimits(const Config& config, ReclaimDescriptor reclaimDescriptor) {
-    UpstreamPool::Limits limits;
+UpstreamClient::Limits upstreamClientLimits(const Config& config, ReclaimDescriptor reclaimDescriptor) {
+    UpstreamClient::Limits limits;
     limits.maxConnections = config.maxDescriptors * kUpstreamDescriptorPercent / 100;
     limits.connectTimeout = config.settings.connectTimeout;
     limits.keepAlive = config.upstreamKeepAlive;
--- a/src/net/server/component_options.h
+++ b/src/net/server/component_options.h
@@ -6,14 +6,14 @@
 #include "net/counter/counter_client.h"
 #include "net/discovery/discovery_client.h"
 #include "net/server/readiness.h"
-#include "net/upstream/upstream_pool.h"
+#include "net/upstream/upstream_client.h"
 
 namespace gateway::net {
 
 // Of the file descriptors that the configuration allows, 50% are for connections of clients and 40% for
 // connections to endpoints. The rest is for the counter service, discovery, the listener and the event loop.
 ClientServer::Limits clientServerLimits(const Config& config);
-UpstreamPool::Limits upstreamPoolLimits(const Config& config, ReclaimDescriptor reclaimDescriptor);
+UpstreamClient::Limits upstreamClientLimits(const Config& config, ReclaimDescriptor reclaimDescriptor);
 
 CounterClient::Limits counterClientLimits(const Config& config, ReclaimDescriptor reclaimDescriptor);
 DiscoveryClient::Options discoveryClientOptions(const Config& config, ReclaimDescriptor reclaimDescriptor);
--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -41,8 +41,8 @@
       engine_(config.settings, config.seed),
       dispatcher_(dispatcherHandlers()),
       readiness_(timers_, readinessLimits(config)),
-      upstreams_(ioContext, timers_, upstreamPoolLimits(config, [this] { return reclaimDescriptor(); }),
-                 upstreamHooks()),
+      upstreamClient_(ioContext, timers_,
+                      upstreamClientLimits(config, [this] { return reclaimDescriptor(); }), upstreamHooks()),
       clients_(ioContext, timers_, clock_, requestRules(config), clientServerLimits(config), clientHooks()),
       discovery_(ioContext, timers_, clock_,
                  discoveryClientOptions(config, [this] { return reclaimDescriptor(); }),
@@ -72,7 +72,7 @@
     return handlers;
 }
 
-UpstreamPool::Hooks GatewayServer::upstreamHooks() {
+UpstreamClient::Hooks GatewayServer::upstreamHooks() {
     return {
         [this](AttemptId id, AttemptResult&& result) { handleAttemptEnded(id, std::move(result)); },
         [this](AttemptId id) {
@@ -132,7 +132,7 @@
 // A new connection has priority over an idle one. Idle connections may hold all descriptors that the process
 // can open.
 bool GatewayServer::reclaimDescriptor() {
-    return clients_.evictIdleClient() || upstreams_.evictIdleConnection();
+    return clients_.evictIdleClient() || upstreamClient_.evictIdleConnection();
 }
 
 void GatewayServer::ensureFreeDescriptor() {
@@ -146,7 +146,7 @@
 
 void GatewayServer::handleEndpointList(const EndpointList& list, UpdateKind kind) {
     readiness_.recordEndpointList(kind, list.endpoints.empty());
-    upstreams_.update(list);
+    upstreamClient_.update(list);
     EndpointUpdate update;
     update.kind = kind;
     for (const ResolvedEndpoint& endpoint : list.endpoints) update.entries.push_back(endpoint.entry);
@@ -165,7 +165,7 @@
     dispatcher_.dispatch(ClientDisconnected{id});
     // No client waits for the result of an attempt that has not been sent yet, so it is cancelled even if the
     // settings forbid cancellation.
-    for (const AttemptId attempt : attempts) upstreams_.cancelUnsent(attempt);
+    for (const AttemptId attempt : attempts) upstreamClient_.cancelUnsent(attempt);
     // Frees the request's id. If an attempt is in flight, its end frees the id instead.
     requests_.removeIfComplete(id);
 }
@@ -193,12 +193,13 @@
         handleAttemptEnded(attempt->id, notSentResult());
         return;
     }
-    upstreams_.start(attempt->id, action.endpoint, {action.timeout, action.maxSendDelay}, attempt->forwarded);
+    upstreamClient_.start(attempt->id, action.endpoint, {action.timeout, action.maxSendDelay},
+                          attempt->forwarded);
 }
 
 void GatewayServer::execute(const CancelAttempt& action) {
     const AttemptId id = requests_.attempt(action.request, action.attempt);
-    if (id != AttemptId::none) upstreams_.cancel(id);
+    if (id != AttemptId::none) upstreamClient_.cancel(id);
 }
 
 void GatewayServer::execute(const RejectRequest& action) {
--- a/src/net/server/gateway_server.h
+++ b/src/net/server/gateway_server.h
@@ -19,7 +19,7 @@
 #include "net/server/request_registry.h"
 #include "net/transport/clock.h"
 #include "net/transport/timer_queue.h"
-#include "net/upstream/upstream_pool.h"
+#include "net/upstream/upstream_client.h"
 
 namespace gateway::net {
 
@@ -55,7 +55,7 @@
 
 private:
     EventDispatcher::Handlers dispatcherHandlers();
-    UpstreamPool::Hooks upstreamHooks();
+    UpstreamClient::Hooks upstreamHooks();
     ClientServer::Hooks clientHooks();
     GracefulShutdown::Hooks shutdownHooks();
 
@@ -86,7 +86,7 @@
     RequestRegistry requests_;
     EventDispatcher dispatcher_;
     Readiness readiness_;
-    UpstreamPool upstreams_;
+    UpstreamClient upstreamClient_;
     std::optional<CounterClient> counter_;  // absent if none is configured
     ClientServer clients_;
     DiscoveryClient discovery_;
--- a/src/net/upstream/upstream_pool.h
+++ b/src/net/upstream/upstream_client.h
@@ -15,7 +15,7 @@
 
 namespace gateway::net {
 
-class UpstreamPool {
+class UpstreamClient {
 public:
     struct Limits {
         std::size_t maxConnections = 256;       // over all endpoints
@@ -28,12 +28,12 @@
     using Hooks = AttemptRunner::Hooks;
     using AttemptOptions = AttemptRunner::Options;
 
-    // `ioContext` and `timers` must outlive the pool. `ioContext` must not run a handler after the pool is
-    // destroyed.
-    UpstreamPool(boost::asio::io_context& ioContext, TimerQueue& timers, const Limits& limits, Hooks hooks);
-    UpstreamPool(const UpstreamPool&) = delete;
-    UpstreamPool& operator=(const UpstreamPool&) = delete;
-    ~UpstreamPool() = default;
+    // `ioContext` and `timers` must outlive the client. `ioContext` must not run a handler after the client
+    // is destroyed.
+    UpstreamClient(boost::asio::io_context& ioContext, TimerQueue& timers, const Limits& limits, Hooks hooks);
+    UpstreamClient(const UpstreamClient&) = delete;
+    UpstreamClient& operator=(const UpstreamClient&) = delete;
+    ~UpstreamClient() = default;
 
     // Applies an endpoint list of discovery. Attempts in flight continue, even on an endpoint that was
     // removed.
@@ -57,7 +57,7 @@
 private:
     IdleConnectionPool idleConnections_;
     UpstreamEndpointTable endpoints_;
-    AttemptRunner attempts_;
+    AttemptRunner attemptRunner_;
 };
 
 }  // namespace gateway::net
