--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -43,7 +43,8 @@
       readiness_(timers_, readinessLimits(config)),
       upstreamClient_(ioContext, timers_,
                       upstreamClientLimits(config, [this] { return reclaimDescriptor(); }), upstreamHooks()),
-      clients_(ioContext, timers_, clock_, requestRules(config), clientServerLimits(config), clientHooks()),
+      clientServer_(ioContext, timers_, clock_, requestRules(config), clientServerLimits(config),
+                    clientHooks()),
       discovery_(ioContext, timers_, clock_,
                  discoveryClientOptions(config, [this] { return reclaimDescriptor(); }),
                  [this](const EndpointList& list) {
@@ -97,7 +98,7 @@
 
 GracefulShutdown::Hooks GatewayServer::shutdownHooks() {
     return {
-        [this](std::function<void()> onDrained) { clients_.drain(std::move(onDrained)); },
+        [this](std::function<void()> onDrained) { clientServer_.drain(std::move(onDrained)); },
         [this] { return isReconciled(); },
         [this] { discovery_.stop(); },
     };
@@ -109,7 +110,7 @@
     handleEndpointList(config_.cachedEndpoints, UpdateKind::cached);
     readiness_.start(config_.settings.discovery == DiscoveryMode::push);
     discovery_.start();
-    clients_.listen(config_.listen);
+    clientServer_.listen(config_.listen);
 }
 
 void GatewayServer::reload(const Config& config) {
@@ -117,14 +118,14 @@
     if (counter_ && config.counter) counter_->changeAddress(*config.counter);
 }
 
-void GatewayServer::drain(std::function<void()> onComplete) {
+void GatewayServer::shutDown(std::function<void()> onComplete) {
     shutdown_.start(std::move(onComplete));
 }
 
 // Returns whether no event is being handled, no timer of the engine is pending and no call to the counter
 // service is in flight. Usage that the engine has collected is sent when one of its timers fires.
 bool GatewayServer::isReconciled() const {
-    return !dispatcher_.isDispatching() && engineTimersInFlight_ == 0 && (!counter_ || counter_->isIdle());
+    return !dispatcher_.isDispatching() && pendingEngineTimers_ == 0 && (!counter_ || counter_->isIdle());
 }
 
 // ---- Descriptors ----------------------------------------------------------------------------------
@@ -132,10 +133,10 @@
 // A new connection has priority over an idle one. Idle connections may hold all descriptors that the process
 // can open.
 bool GatewayServer::reclaimDescriptor() {
-    return clients_.evictIdleClient() || upstreamClient_.evictIdleConnection();
+    return clientServer_.evictIdleClient() || upstreamClient_.evictIdleConnection();
 }
 
-void GatewayServer::ensureFreeDescriptor() {
+void GatewayServer::tryToFreeDescriptor() {
     tcp::socket probe(ioContext_);
     error_code ec;
     probe.open(tcp::v4(), ec);
@@ -215,9 +216,9 @@
 }
 
 void GatewayServer::execute(const SetTimer& action) {
-    ++engineTimersInFlight_;
+    ++pendingEngineTimers_;
     timers_.schedule(action.delay, [this, timer = action.timer] {
-        --engineTimersInFlight_;
+        --pendingEngineTimers_;
         dispatcher_.dispatch(TimerFired{timer});
     });
 }
@@ -231,7 +232,7 @@
 }
 
 void GatewayServer::answer(const RequestId& id, const ClientResponse& response) {
-    if (const auto client = requests_.releaseClient(id)) clients_.answer(*client, response);
+    if (const auto client = requests_.releaseClient(id)) clientServer_.answer(*client, response);
     requests_.removeIfComplete(id);
 }
 
--- a/src/net/server/gateway_server.h
+++ b/src/net/server/gateway_server.h
@@ -40,7 +40,7 @@
 
     // If no file descriptor is free, closes an idle connection, if there is one. Called before a file is
     // opened.
-    void ensureFreeDescriptor();
+    void tryToFreeDescriptor();
 
     // Changes the addresses of discovery and of the counter service to those in `config`. The counter's
     // address changes only if both the initial configuration and `config` have one. Ignores all other changes
@@ -48,10 +48,10 @@
     void reload(const Config& config);
 
     // Shuts down gracefully, then calls `onComplete`: see GracefulShutdown. Must be called only once.
-    void drain(std::function<void()> onComplete);
+    void shutDown(std::function<void()> onComplete);
 
     // The address that clients connect to. Precondition: start() has returned.
-    tcp::endpoint address() const { return clients_.address(); }
+    tcp::endpoint address() const { return clientServer_.address(); }
 
 private:
     EventDispatcher::Handlers dispatcherHandlers();
@@ -88,10 +88,10 @@
     Readiness readiness_;
     UpstreamClient upstreamClient_;
     std::optional<CounterClient> counter_;  // absent if none is configured
-    ClientServer clients_;
+    ClientServer clientServer_;
     DiscoveryClient discovery_;
     GracefulShutdown shutdown_;
-    std::size_t engineTimersInFlight_ = 0;  // set by the engine, not fired yet
+    std::size_t pendingEngineTimers_ = 0;  // set by the engine, not fired yet
 };
 
 }  // namespace gateway::net
--- a/src/net/server/service.cpp
+++ b/src/net/server/service.cpp
@@ -18,30 +18,30 @@
     SignalHandler(boost::asio::io_context& ioContext, GatewayServer& server)
         : ioContext_(ioContext),
           server_(server),
-          terminations_(ioContext, SIGTERM, SIGINT),
-          hangups_(ioContext, SIGHUP) {
+          terminationSignals_(ioContext, SIGTERM, SIGINT),
+          reloadSignal_(ioContext, SIGHUP) {
         awaitTermination();
-        awaitHangup();
+        awaitReload();
     }
 
 private:
     void awaitTermination() {
-        terminations_.async_wait([this](const boost::system::error_code& ec, int) {
-            if (!ec) server_.drain([this] { ioContext_.stop(); });
+        terminationSignals_.async_wait([this](const boost::system::error_code& ec, int) {
+            if (!ec) server_.shutDown([this] { ioContext_.stop(); });
         });
     }
 
-    void awaitHangup() {
-        hangups_.async_wait([this](const boost::system::error_code& ec, int) {
+    void awaitReload() {
+        reloadSignal_.async_wait([this](const boost::system::error_code& ec, int) {
             if (ec) return;
             reload();
-            awaitHangup();
+            awaitReload();
         });
     }
 
     void reload() {
         try {
-            server_.ensureFreeDescriptor();
+            server_.tryToFreeDescriptor();
             server_.reload(loadConfig(ConfigLoad::reload));
         } catch (const std::exception& e) {
             log(LogLevel::error, "SIGHUP",
@@ -51,8 +51,8 @@
 
     boost::asio::io_context& ioContext_;
     GatewayServer& server_;
-    boost::asio::signal_set terminations_;
-    boost::asio::signal_set hangups_;
+    boost::asio::signal_set terminationSignals_;
+    boost::asio::signal_set reloadSignal_;
 };
 
 // Runs the event loop until it is stopped. An exception ends only the handler that threw it.
