--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -99,7 +99,7 @@
 GracefulShutdown::Hooks GatewayServer::shutdownHooks() {
     return {
         [this](std::function<void()> onDrained) { clientServer_.drain(std::move(onDrained)); },
-        [this] { return isReconciled(); },
+        [this] { return hasNoPendingUsage(); },
         [this] { discovery_.stop(); },
     };
 }
@@ -124,7 +124,7 @@
 
 // Returns whether no event is being handled, no timer of the engine is pending and no call to the counter
 // service is in flight. Usage that the engine has collected is sent when one of its timers fires.
-bool GatewayServer::isReconciled() const {
+bool GatewayServer::hasNoPendingUsage() const {
     return !dispatcher_.isDispatching() && pendingEngineTimers_ == 0 && (!counter_ || counter_->isIdle());
 }
 
--- a/src/net/server/gateway_server.h
+++ b/src/net/server/gateway_server.h
@@ -76,7 +76,7 @@
     bool hasWaitingClient(const RequestId& id) const { return requests_.client(id) != nullptr; }
     void answer(const RequestId& id, const ClientResponse& response);
     bool reclaimDescriptor();
-    bool isReconciled() const;
+    bool hasNoPendingUsage() const;
 
     boost::asio::io_context& ioContext_;
     const Config& config_;
--- a/src/net/server/graceful_shutdown.cpp
+++ b/src/net/server/graceful_shutdown.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr Duration kMaxReconcileTime = std::chrono::seconds(1);
-constexpr Duration kReconcilePollInterval = std::chrono::milliseconds(20);
+constexpr Duration kMaxPendingUsageWait = std::chrono::seconds(1);
+constexpr Duration kPendingUsagePollInterval = std::chrono::milliseconds(20);
 
 }  // namespace
 
@@ -19,14 +19,14 @@
 void GracefulShutdown::start(std::function<void()> onComplete) {
     onComplete_ = std::move(onComplete);
     hooks_.drainClients([this] {
-        reconcileDeadline_ = steady_clock::now() + kMaxReconcileTime;
-        completeWhenReconciled();
+        pendingUsageDeadline_ = steady_clock::now() + kMaxPendingUsageWait;
+        completeWhenNoUsageIsPending();
     });
 }
 
-void GracefulShutdown::completeWhenReconciled() {
-    if (!hooks_.isReconciled() && steady_clock::now() < reconcileDeadline_) {
-        timers_.schedule(kReconcilePollInterval, [this] { completeWhenReconciled(); });
+void GracefulShutdown::completeWhenNoUsageIsPending() {
+    if (!hooks_.hasNoPendingUsage() && steady_clock::now() < pendingUsageDeadline_) {
+        timers_.schedule(kPendingUsagePollInterval, [this] { completeWhenNoUsageIsPending(); });
         return;
     }
     hooks_.stopDiscovery();
--- a/src/net/server/graceful_shutdown.h
+++ b/src/net/server/graceful_shutdown.h
@@ -17,7 +17,7 @@
         std::function<void(std::function<void()>)> drainClients;
         // Returns whether no usage is waiting to be sent to the counter service and no call to the counter
         // service is in flight.
-        std::function<bool()> isReconciled;
+        std::function<bool()> hasNoPendingUsage;
         std::function<void()> stopDiscovery;
     };
 
@@ -28,12 +28,12 @@
     void start(std::function<void()> onComplete);
 
 private:
-    void completeWhenReconciled();
+    void completeWhenNoUsageIsPending();
 
     TimerQueue& timers_;
     Hooks hooks_;
     std::function<void()> onComplete_;
-    SteadyTimePoint reconcileDeadline_{};
+    SteadyTimePoint pendingUsageDeadline_{};
 };
 
 }  // namespace gateway::net
--- a/tests/net/server/graceful_shutdown_test.cpp
+++ b/tests/net/server/graceful_shutdown_test.cpp
@@ -20,9 +20,9 @@
             steps.emplace_back("drain clients");
             onDrained = std::move(notifyDrained);
         };
-        result.isReconciled = [this] {
-            ++reconcilePolls;
-            return isReconciled;
+        result.hasNoPendingUsage = [this] {
+            ++pendingUsagePolls;
+            return hasNoPendingUsage;
         };
         result.stopDiscovery = [this] { steps.emplace_back("stop discovery"); };
         return result;
@@ -36,37 +36,37 @@
     TimerQueue timers{ioContext};
     Steps steps;
     std::function<void()> onDrained;
-    bool isReconciled = true;
-    int reconcilePolls = 0;
+    bool hasNoPendingUsage = true;
+    int pendingUsagePolls = 0;
     GracefulShutdown shutdown{timers, hooks()};
 };
 
 TEST_F(GracefulShutdownTest, WaitsForClientsToDrain) {
     startShutdown();
     EXPECT_EQ(steps, (Steps{"drain clients"}));
-    EXPECT_EQ(reconcilePolls, 0);
+    EXPECT_EQ(pendingUsagePolls, 0);
 }
 
-TEST_F(GracefulShutdownTest, CompletesAtOnceWhenDrainedAndReconciled) {
+TEST_F(GracefulShutdownTest, CompletesAtOnceWhenDrainedWithoutPendingUsage) {
     startShutdown();
     onDrained();
     EXPECT_EQ(steps, (Steps{"drain clients", "stop discovery", "complete"}));
 }
 
-TEST_F(GracefulShutdownTest, PollsUntilReconciled) {
-    isReconciled = false;
+TEST_F(GracefulShutdownTest, PollsUntilNoUsageIsPending) {
+    hasNoPendingUsage = false;
     startShutdown();
     onDrained();
     ioContext.run_one();
     EXPECT_EQ(steps, (Steps{"drain clients"}));
-    EXPECT_EQ(reconcilePolls, 2);
-    isReconciled = true;
+    EXPECT_EQ(pendingUsagePolls, 2);
+    hasNoPendingUsage = true;
     ioContext.run_one();
     EXPECT_EQ(steps, (Steps{"drain clients", "stop discovery", "complete"}));
 }
 
-TEST_F(GracefulShutdownTest, CompletesWithoutReconciliationAfterOneSecond) {
-    isReconciled = false;
+TEST_F(GracefulShutdownTest, CompletesWithPendingUsageAfterOneSecond) {
+    hasNoPendingUsage = false;
     startShutdown();
     const SteadyTimePoint drainedAt = std::chrono::steady_clock::now();
     onDrained();
