--- a/src/net/server/readiness.cpp
+++ b/src/net/server/readiness.cpp
@@ -3,14 +3,14 @@
 namespace gateway::net {
 
 void Readiness::recordEndpointList(UpdateKind kind, bool isEmpty) {
-    if (!isEmpty || kind == UpdateKind::snapshot) hasUsableList_ = true;
-    if (kind != UpdateKind::cached) isListCurrent_ = true;
+    if (!isEmpty || kind == UpdateKind::snapshot) isListWaitOver_ = true;
+    if (kind != UpdateKind::cached) isUpdateWaitOver_ = true;
 }
 
 void Readiness::start(bool awaitsInitialUpdate) {
-    if (!hasUsableList_) timers_.schedule(limits_.emptyListWait, [this] { hasUsableList_ = true; });
-    isListCurrent_ = !awaitsInitialUpdate || limits_.initialUpdateWait <= Duration::zero();
-    if (!isListCurrent_) timers_.schedule(limits_.initialUpdateWait, [this] { isListCurrent_ = true; });
+    if (!isListWaitOver_) timers_.schedule(limits_.emptyListWait, [this] { isListWaitOver_ = true; });
+    isUpdateWaitOver_ = !awaitsInitialUpdate || limits_.initialUpdateWait <= Duration::zero();
+    if (!isUpdateWaitOver_) timers_.schedule(limits_.initialUpdateWait, [this] { isUpdateWaitOver_ = true; });
 }
 
 }  // namespace gateway::net
--- a/src/net/server/readiness.h
+++ b/src/net/server/readiness.h
@@ -6,9 +6,9 @@
 
 namespace gateway::net {
 
-// A new process is ready once it has a usable endpoint list and the list is current. The wait for each
-// condition is limited, because a process that never becomes ready is treated as failed. A ready process
-// stays ready.
+// A new process is ready once it has a usable endpoint list and the list is current, or once the time to wait
+// for these is up. The waits are limited, because a process that never becomes ready is treated as failed. A
+// ready process stays ready.
 class Readiness {
 public:
     struct Limits {
@@ -28,13 +28,13 @@
     // whether to wait for the first update from discovery.
     void start(bool awaitsInitialUpdate);
 
-    bool isReady() const { return hasUsableList_ && isListCurrent_; }
+    bool isReady() const { return isListWaitOver_ && isUpdateWaitOver_; }
 
 private:
     TimerQueue& timers_;
     Limits limits_;
-    bool hasUsableList_ = false;  // not empty or a snapshot; or the wait is over
-    bool isListCurrent_ = false;  // updated by discovery; or the wait is over
+    bool isListWaitOver_ = false;  // a usable list (not empty, or a snapshot) was recorded, or the time is up
+    bool isUpdateWaitOver_ = false;  // an update was recorded, or the time is up, or none is awaited
 };
 
 }  // namespace gateway::net
--- a/tests/net/server/readiness_test.cpp
+++ b/tests/net/server/readiness_test.cpp
@@ -32,14 +32,14 @@
     EXPECT_FALSE(readiness.isReady());
 }
 
-TEST_F(ReadinessTest, IsReadyAtOnceWithConfiguredListWhenNoUpdateIsAwaited) {
+TEST_F(ReadinessTest, IsReadyAtOnceWithCachedListWhenNoUpdateIsAwaited) {
     Readiness readiness = makeReadiness(kNever, kNever);
     readiness.recordEndpointList(UpdateKind::cached, false);
     readiness.start(false);
     EXPECT_TRUE(readiness.isReady());
 }
 
-TEST_F(ReadinessTest, IsReadyAtOnceWithConfiguredListWhenWaitForUpdateIsZero) {
+TEST_F(ReadinessTest, IsReadyAtOnceWithCachedListWhenWaitForUpdateIsZero) {
     Readiness readiness = makeReadiness(kNever, Duration::zero());
     readiness.recordEndpointList(UpdateKind::cached, false);
     readiness.start(true);
@@ -73,7 +73,7 @@
     EXPECT_TRUE(readiness.isReady());
 }
 
-TEST_F(ReadinessTest, EmptyDeltaDoesNotReplaceEmptyConfiguredList) {
+TEST_F(ReadinessTest, EmptyDeltaDoesNotReplaceEmptyCachedList) {
     Readiness readiness = makeReadiness(kNever, kNever);
     readiness.recordEndpointList(UpdateKind::cached, true);
     readiness.start(true);
