--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -172,7 +172,7 @@
 }
 
 void GatewayServer::handleAttemptEnded(AttemptId id, AttemptResult&& result) {
-    const std::optional<RequestRegistry::EndedAttempt> attempt = requests_.endAttempt(id);
+    const std::optional<RequestRegistry::EndedAttempt> attempt = requests_.recordAttemptEnded(id);
     if (!attempt) return;
     // The first response with status 200 is forwarded to the client at once. Responses that arrive after the
     // client was answered or has disconnected are dropped.
@@ -187,7 +187,7 @@
 // ---- Actions --------------------------------------------------------------------------------------
 
 void GatewayServer::execute(const SendAttempt& action) {
-    const auto attempt = requests_.startAttempt(action.request, action.endpoint);
+    const auto attempt = requests_.addAttempt(action.request, action.endpoint);
     if (!attempt) return;
     disconnectIfClosed(attempt->client);
     if (!hasWaitingClient(action.request)) {
--- a/src/net/server/request_registry.cpp
+++ b/src/net/server/request_registry.cpp
@@ -24,20 +24,20 @@
     return std::exchange(found->second.client, nullptr);
 }
 
-std::optional<RequestRegistry::StartedAttempt> RequestRegistry::startAttempt(const RequestId& id,
-                                                                             const EndpointId& endpoint) {
+std::optional<RequestRegistry::AddedAttempt> RequestRegistry::addAttempt(const RequestId& id,
+                                                                         const EndpointId& endpoint) {
     const auto found = requests_.find(id);
     if (found == requests_.end()) return std::nullopt;
     Request& request = found->second;
-    ++lastAttemptNumber_;
-    const AttemptId attempt{lastAttemptNumber_};
+    ++lastAttemptId_;
+    const AttemptId attempt{lastAttemptId_};
     attempts_[attempt] = {id, endpoint, static_cast<int>(request.attempts.size())};
     request.attempts.push_back(attempt);
     ++request.attemptsInFlight;
-    return StartedAttempt{attempt, request.forwarded, request.client};
+    return AddedAttempt{attempt, request.forwarded, request.client};
 }
 
-std::optional<RequestRegistry::EndedAttempt> RequestRegistry::endAttempt(AttemptId id) {
+std::optional<RequestRegistry::EndedAttempt> RequestRegistry::recordAttemptEnded(AttemptId id) {
     const auto found = attempts_.find(id);
     if (found == attempts_.end()) return std::nullopt;
     Attempt attempt = std::move(found->second);
--- a/src/net/server/request_registry.h
+++ b/src/net/server/request_registry.h
@@ -23,7 +23,7 @@
 class RequestRegistry {
 public:
     // The data that is needed to send an attempt.
-    struct StartedAttempt {
+    struct AddedAttempt {
         AttemptId id = AttemptId::none;
         std::shared_ptr<const ForwardedRequest> forwarded;
         std::shared_ptr<ClientSession> client;  // null if no client waits for the response
@@ -51,11 +51,11 @@
     std::shared_ptr<ClientSession> releaseClient(const RequestId& id);
 
     // Registers the next attempt of a request. Returns nothing if the request is not registered.
-    std::optional<StartedAttempt> startAttempt(const RequestId& id, const EndpointId& endpoint);
+    std::optional<AddedAttempt> addAttempt(const RequestId& id, const EndpointId& endpoint);
 
     // Records that an attempt has ended. Returns nothing if the attempt is not in flight. The request stays
     // registered: call removeIfComplete() after processing the result.
-    std::optional<EndedAttempt> endAttempt(AttemptId id);
+    std::optional<EndedAttempt> recordAttemptEnded(AttemptId id);
 
     // Returns the request of an attempt in flight. Returns nothing for any other attempt.
     std::optional<RequestId> requestOf(AttemptId id) const;
@@ -85,7 +85,7 @@
 
     std::unordered_map<RequestId, Request> requests_;
     std::unordered_map<AttemptId, Attempt> attempts_;  // in flight
-    std::uint64_t lastAttemptNumber_ = 0;              // of all requests
+    std::uint64_t lastAttemptId_ = 0;                  // of all requests
 };
 
 }  // namespace gateway::net
--- a/tests/net/server/request_registry_test.cpp
+++ b/tests/net/server/request_registry_test.cpp
@@ -22,8 +22,8 @@
 
     bool addRequest() { return registry.add(kRequest, makeForwarded(), client); }
 
-    AttemptId startAttempt(const EndpointId& endpoint) {
-        const auto attempt = registry.startAttempt(kRequest, endpoint);
+    AttemptId addAttempt(const EndpointId& endpoint) {
+        const auto attempt = registry.addAttempt(kRequest, endpoint);
         return attempt ? attempt->id : AttemptId::none;
     }
 
@@ -37,7 +37,7 @@
     const auto forwarded = makeForwarded();
     ASSERT_TRUE(registry.add(kRequest, forwarded, client));
     EXPECT_EQ(registry.client(kRequest), client);
-    const auto attempt = registry.startAttempt(kRequest, kEndpoint);
+    const auto attempt = registry.addAttempt(kRequest, kEndpoint);
     ASSERT_TRUE(attempt);
     EXPECT_EQ(attempt->forwarded, forwarded);
     EXPECT_EQ(attempt->client, client);
@@ -46,7 +46,7 @@
 TEST_F(RequestRegistryTest, ReturnsNothingForUnregisteredRequest) {
     EXPECT_EQ(registry.client(kRequest), nullptr);
     EXPECT_EQ(registry.releaseClient(kRequest), nullptr);
-    EXPECT_FALSE(registry.startAttempt(kRequest, kEndpoint));
+    EXPECT_FALSE(registry.addAttempt(kRequest, kEndpoint));
     EXPECT_EQ(registry.attempt(kRequest, 0), AttemptId::none);
     EXPECT_TRUE(registry.attempts(kRequest).empty());
     registry.removeIfComplete(kRequest);
@@ -67,14 +67,14 @@
 
 TEST_F(RequestRegistryTest, NumbersAttemptsOfRequestFromZero) {
     ASSERT_TRUE(addRequest());
-    const AttemptId first = startAttempt(kEndpoint);
-    const AttemptId second = startAttempt(EndpointId{"other"});
+    const AttemptId first = addAttempt(kEndpoint);
+    const AttemptId second = addAttempt(EndpointId{"other"});
     EXPECT_NE(first, second);
     EXPECT_EQ(registry.attempt(kRequest, 0), first);
     EXPECT_EQ(registry.attempt(kRequest, 1), second);
     EXPECT_EQ(registry.attempt(kRequest, 2), AttemptId::none);
     EXPECT_EQ(registry.attempts(kRequest), (std::vector<AttemptId>{first, second}));
-    const auto ended = registry.endAttempt(second);
+    const auto ended = registry.recordAttemptEnded(second);
     ASSERT_TRUE(ended);
     EXPECT_EQ(ended->request, kRequest);
     EXPECT_EQ(ended->endpoint, EndpointId{"other"});
@@ -83,30 +83,30 @@
 
 TEST_F(RequestRegistryTest, KeepsNumbersOfEndedAttempts) {
     ASSERT_TRUE(addRequest());
-    const AttemptId first = startAttempt(kEndpoint);
-    ASSERT_TRUE(registry.endAttempt(first));
-    const AttemptId second = startAttempt(kEndpoint);
+    const AttemptId first = addAttempt(kEndpoint);
+    ASSERT_TRUE(registry.recordAttemptEnded(first));
+    const AttemptId second = addAttempt(kEndpoint);
     EXPECT_EQ(registry.attempt(kRequest, 0), first);
     EXPECT_EQ(registry.attempt(kRequest, 1), second);
 }
 
 TEST_F(RequestRegistryTest, ReportsAtEndOfAttemptWhetherClientWaits) {
     ASSERT_TRUE(addRequest());
-    const AttemptId first = startAttempt(kEndpoint);
-    const AttemptId second = startAttempt(kEndpoint);
-    EXPECT_TRUE(registry.endAttempt(first)->isClientWaiting);
+    const AttemptId first = addAttempt(kEndpoint);
+    const AttemptId second = addAttempt(kEndpoint);
+    EXPECT_TRUE(registry.recordAttemptEnded(first)->isClientWaiting);
     registry.releaseClient(kRequest);
-    EXPECT_FALSE(registry.startAttempt(kRequest, kEndpoint)->client);
-    EXPECT_FALSE(registry.endAttempt(second)->isClientWaiting);
+    EXPECT_FALSE(registry.addAttempt(kRequest, kEndpoint)->client);
+    EXPECT_FALSE(registry.recordAttemptEnded(second)->isClientWaiting);
 }
 
 TEST_F(RequestRegistryTest, EndsAttemptOnce) {
     ASSERT_TRUE(addRequest());
-    const AttemptId attempt = startAttempt(kEndpoint);
+    const AttemptId attempt = addAttempt(kEndpoint);
     EXPECT_EQ(registry.requestOf(attempt), kRequest);
-    EXPECT_TRUE(registry.endAttempt(attempt));
+    EXPECT_TRUE(registry.recordAttemptEnded(attempt));
     EXPECT_EQ(registry.requestOf(attempt), std::nullopt);
-    EXPECT_FALSE(registry.endAttempt(attempt));
+    EXPECT_FALSE(registry.recordAttemptEnded(attempt));
 }
 
 TEST_F(RequestRegistryTest, KeepsRequestWhileClientWaits) {
@@ -117,13 +117,13 @@
 
 TEST_F(RequestRegistryTest, KeepsRequestWhileAttemptIsInFlight) {
     ASSERT_TRUE(addRequest());
-    const AttemptId first = startAttempt(kEndpoint);
-    const AttemptId second = startAttempt(kEndpoint);
+    const AttemptId first = addAttempt(kEndpoint);
+    const AttemptId second = addAttempt(kEndpoint);
     registry.releaseClient(kRequest);
-    registry.endAttempt(first);
+    registry.recordAttemptEnded(first);
     registry.removeIfComplete(kRequest);
     EXPECT_FALSE(addRequest());
-    registry.endAttempt(second);
+    registry.recordAttemptEnded(second);
     registry.removeIfComplete(kRequest);
     EXPECT_TRUE(addRequest());
 }
@@ -132,7 +132,7 @@
     ASSERT_TRUE(addRequest());
     registry.releaseClient(kRequest);
     registry.removeIfComplete(kRequest);
-    EXPECT_FALSE(registry.startAttempt(kRequest, kEndpoint));
+    EXPECT_FALSE(registry.addAttempt(kRequest, kEndpoint));
     EXPECT_TRUE(addRequest());
 }
 
