--- a/src/net/client/client_session.cpp
+++ b/src/net/client/client_session.cpp
@@ -83,7 +83,7 @@
     });
 }
 
-void ClientSession::onSendDrained() {
+void ClientSession::onOutputWritten() {
     if (isLingering_) shutdownSend();
 }
 
--- a/src/net/client/client_session.h
+++ b/src/net/client/client_session.h
@@ -82,7 +82,7 @@
 
 private:
     void onReceived() override;
-    void onSendDrained() override;
+    void onOutputWritten() override;
     void onClosed() override { end(); }
 
     void readNext();
--- a/src/net/discovery/discovery_client.cpp
+++ b/src/net/discovery/discovery_client.cpp
@@ -109,8 +109,8 @@
     std::erase_if(pending_, [&](const StreamPtr& pending) { return pending.get() == &stream; });
     // The end of an older call has no effect, because the newer call has scheduled the next one.
     if (isStopped_ || !(wasWatch || wasNewest)) return;
-    scheduleCall(stream.isOutOfDescriptors() ? options_.schedule.delayAfterDescriptorShortage()
-                                             : options_.schedule.delayAfterFailure(clock_.now()));
+    scheduleCall(stream.hasFailedToOpenSocket() ? options_.schedule.delayAfterDescriptorShortage()
+                                                : options_.schedule.delayAfterFailure(clock_.now()));
 }
 
 // ---- Documents ------------------------------------------------------------------------------------
--- a/src/net/transport/tcp_connection.cpp
+++ b/src/net/transport/tcp_connection.cpp
@@ -37,8 +37,8 @@
 
 void TcpConnection::connect(const tcp::endpoint& peer, TimerQueue& timers, Duration timeout,
                             const ReclaimDescriptor& reclaimDescriptor) {
-    isOutOfDescriptors_ = !openSocket(peer, reclaimDescriptor);
-    if (isOutOfDescriptors_) {
+    hasFailedToOpenSocket_ = !openSocket(peer, reclaimDescriptor);
+    if (hasFailedToOpenSocket_) {
         timers.schedule(Duration::zero(), [weak = weak_from_this()] {
             if (const auto self = weak.lock()) self->fail();
         });
@@ -133,7 +133,7 @@
 // ---- Writing --------------------------------------------------------------------------------------
 
 void TcpConnection::flush() {
-    if (!open_ || closed_ || writing_ || isFlushed()) return;
+    if (!open_ || closed_ || awaitingWritable_ || isFlushed()) return;
     error_code ec;
     const auto unwritten =
         boost::asio::buffer(output_.data() + outputPosition_, output_.size() - outputPosition_);
@@ -153,13 +153,13 @@
 }
 
 void TcpConnection::awaitWritable() {
-    writing_ = true;
+    awaitingWritable_ = true;
     socket_.async_wait(tcp::socket::wait_write, [this, self = shared_from_this()](const error_code& ec) {
-        writing_ = false;
+        awaitingWritable_ = false;
         if (closed_ || ec) return;
         runGuarded([this] {
             flush();
-            if (!closed_ && isFlushed()) onSendDrained();
+            if (!closed_ && isFlushed()) onOutputWritten();
         });
     });
 }
--- a/src/net/transport/tcp_connection.h
+++ b/src/net/transport/tcp_connection.h
@@ -26,8 +26,8 @@
 //
 // Must be owned by a shared_ptr, because pending operations hold a copy of it. A timer that can outlive the
 // connection must hold a weak_ptr. The private virtual functions notify the derived class of events and are
-// called from the event loop only. If onConnected(), onReceived() or onSendDrained() throws an exception, the
-// connection is closed and onClosed() is called; other connections are not affected.
+// called from the event loop only. If onConnected(), onReceived() or onOutputWritten() throws an exception,
+// the connection is closed and onClosed() is called; other connections are not affected.
 class TcpConnection : public std::enable_shared_from_this<TcpConnection> {
 public:
     virtual ~TcpConnection() = default;
@@ -45,7 +45,7 @@
 
     // Returns whether connect() failed because no socket could be opened, usually because this process has no
     // file descriptor left. Such a failure says nothing about the peer.
-    bool isOutOfDescriptors() const { return isOutOfDescriptors_; }
+    bool hasFailedToOpenSocket() const { return hasFailedToOpenSocket_; }
 
     // Returns whether there are received bytes that were not consumed, in input() or still in the kernel.
     bool hasInput() { return input_.size() > 0 || peek() == PeekResult::bytes; }
@@ -111,9 +111,9 @@
     enum class PeekResult { nothing, bytes, end };
 
     virtual void onConnected() {}
-    virtual void onReceived() = 0;   // input() has grown
-    virtual void onSendDrained() {}  // the kernel has accepted all output, after it had refused a part
-    virtual void onClosed() = 0;     // the peer closed the connection, or connecting or the connection failed
+    virtual void onReceived() = 0;     // input() has grown
+    virtual void onOutputWritten() {}  // the kernel has accepted all output, after it had refused a part
+    virtual void onClosed() = 0;  // the peer closed the connection, or connecting or the connection failed
 
     PeekResult peek();
     bool openSocket(const tcp::endpoint& peer, const ReclaimDescriptor& reclaimDescriptor);
@@ -131,11 +131,11 @@
     std::string output_;
     std::size_t outputPosition_ = 0;  // of the first unwritten byte
     std::uint64_t bytesWritten_ = 0;
-    bool isOutOfDescriptors_ = false;
+    bool hasFailedToOpenSocket_ = false;
     bool open_ = false;
     bool closed_ = false;
-    bool reading_ = false;  // a read is pending
-    bool writing_ = false;  // a wait until the socket is writable is pending
+    bool reading_ = false;           // a read is pending
+    bool awaitingWritable_ = false;  // a wait until the socket is writable is pending
     bool discarding_ = false;
 };
 
--- a/src/net/upstream/attempt_runner.cpp
+++ b/src/net/upstream/attempt_runner.cpp
@@ -114,7 +114,7 @@
     } else {
         // Neither the loss of a connection that had been idle nor a failure to open a socket in this process
         // says anything about the endpoint's health.
-        const bool isEndpointAtFault = !connection->isReused() && !connection->isOutOfDescriptors();
+        const bool isEndpointAtFault = !connection->isReused() && !connection->hasFailedToOpenSocket();
         finish(id, isEndpointAtFault ? Outcome::connectFailed : Outcome::notSent);
     }
 }
--- a/tests/net/transport/tcp_connection_test.cpp
+++ b/tests/net/transport/tcp_connection_test.cpp
@@ -41,7 +41,7 @@
         calls.emplace_back("received");
         if (throwsOnReceived) throw std::runtime_error("expected by the test");
     }
-    void onSendDrained() override { calls.emplace_back("send drained"); }
+    void onOutputWritten() override { calls.emplace_back("output written"); }
     void onClosed() override { calls.emplace_back("closed"); }
 };
 
@@ -72,7 +72,7 @@
     EXPECT_FALSE(connection->isOpen());
     runUntil([&] { return connection->isOpen(); });
     EXPECT_EQ(connection->calls, (Calls{"connected"}));
-    EXPECT_FALSE(connection->isOutOfDescriptors());
+    EXPECT_FALSE(connection->hasFailedToOpenSocket());
 }
 
 TEST_F(TcpConnectionTest, ReportsRefusedConnectionAsClosed) {
@@ -82,7 +82,7 @@
     EXPECT_TRUE(connection->calls.empty());
     runUntil([&] { return isClosed(); });
     EXPECT_EQ(connection->calls, (Calls{"closed"}));
-    EXPECT_FALSE(connection->isOutOfDescriptors());
+    EXPECT_FALSE(connection->hasFailedToOpenSocket());
 }
 
 TEST_F(TcpConnectionTest, DoesNotReportOwnClose) {
@@ -166,7 +166,7 @@
     std::size_t receivedBytes = 0;
     while (receivedBytes < output.size()) receivedBytes += receive(peer).size();
     runUntil([&] { return !connection->calls.empty(); });
-    EXPECT_EQ(connection->calls, (Calls{"send drained"}));
+    EXPECT_EQ(connection->calls, (Calls{"output written"}));
     EXPECT_EQ(connection->bytesWritten(), output.size());
 }
 
