--- a/src/net/upstream/attempt_runner.cpp
+++ b/src/net/upstream/attempt_runner.cpp
@@ -38,7 +38,7 @@
         send(attempt);
         return;
     }
-    if (!hasConnectionCapacity()) {  // the endpoint is not at fault
+    if (!makeRoomForConnection()) {  // the endpoint is not at fault
         finish(id, Outcome::notSent);
         return;
     }
@@ -50,8 +50,8 @@
            attempt.endpoint->acceptsAttempts(steady_clock::now(), limits_.drainGracePeriod);
 }
 
-// Returns whether a connection may be opened. Closes an idle connection if the limit is reached.
-bool AttemptRunner::hasConnectionCapacity() {
+// Closes an idle connection if the limit is reached. Returns whether a new connection may be opened.
+bool AttemptRunner::makeRoomForConnection() {
     return *openConnections_ < limits_.maxConnections || idleConnections_.evictOldest();
 }
 
@@ -66,8 +66,8 @@
 }
 
 void AttemptRunner::onConnected(AttemptId id) {
-    hooks_.beforeSend(id);
-    if (!hooks_.shouldSend(id)) {
+    hooks_.onNewConnection(id);
+    if (!hooks_.shouldSendOnNewConnection(id)) {
         cancel(id);
         return;
     }
--- a/src/net/upstream/attempt_runner.h
+++ b/src/net/upstream/attempt_runner.h
@@ -33,9 +33,10 @@
         std::function<void(AttemptId, AttemptResult&&)> onEnded;
         // Called when a new connection is established, before the attempt is written to it. May cancel the
         // attempt.
-        std::function<void(AttemptId)> beforeSend;
-        // Returns whether to send the attempt, after beforeSend. If false, it ends as Outcome::notSent.
-        std::function<bool(AttemptId)> shouldSend;
+        std::function<void(AttemptId)> onNewConnection;
+        // Returns whether to send the attempt. If false, it ends as Outcome::notSent. Called after
+        // onNewConnection. Not called for an attempt on an idle connection.
+        std::function<bool(AttemptId)> shouldSendOnNewConnection;
     };
     struct Options {
         Duration timeout{};       // for the complete response
@@ -80,7 +81,7 @@
     void onUnexpectedInput(const ConnectionPtr& connection) override;
 
     bool canStart(const Attempt& attempt) const;
-    bool hasConnectionCapacity();
+    bool makeRoomForConnection();
     void connect(Attempt& attempt, AttemptId id, Duration timeout);
     static void send(const Attempt& attempt);
     void expire(AttemptId id);
--- a/tests/net/upstream/attempt_runner_fixture.h
+++ b/tests/net/upstream/attempt_runner_fixture.h
@@ -41,10 +41,10 @@
         hooks.onEnded = [this](AttemptId id, AttemptResult&& result) {
             ended.push_back({id, std::move(result)});
         };
-        hooks.beforeSend = [this](AttemptId id) {
-            if (beforeSend) beforeSend(id);
+        hooks.onNewConnection = [this](AttemptId id) {
+            if (onNewConnection) onNewConnection(id);
         };
-        hooks.shouldSend = [this](AttemptId) { return shouldSend; };
+        hooks.shouldSendOnNewConnection = [this](AttemptId) { return shouldSendOnNewConnection; };
         runner.emplace(ioContext, timers, idleConnections, limits, std::move(hooks));
     }
 
@@ -80,8 +80,8 @@
     IdleConnectionPool idleConnections{timers, {std::chrono::seconds(60), Duration::zero()}};
     AttemptRunner::Limits limits;
     AttemptRunner::Options options{std::chrono::seconds(20), Duration::zero()};
-    bool shouldSend = true;
-    std::function<void(AttemptId)> beforeSend;
+    bool shouldSendOnNewConnection = true;
+    std::function<void(AttemptId)> onNewConnection;
     std::vector<Ended> ended;
     std::uint64_t lastAttempt = 0;
     std::optional<AttemptRunner> runner;
--- a/tests/net/upstream/attempt_runner_test.cpp
+++ b/tests/net/upstream/attempt_runner_test.cpp
@@ -116,7 +116,7 @@
 // ---- Between connecting and sending ---------------------------------------------------------------
 
 TEST_F(AttemptRunnerTest, DoesNotSendAttemptThatHookRefuses) {
-    shouldSend = false;
+    shouldSendOnNewConnection = false;
     start();
     tcp::socket peer = accept();
     EXPECT_EQ(waitForOutcome(), Outcome::notSent);
@@ -124,7 +124,7 @@
 }
 
 TEST_F(AttemptRunnerTest, DoesNotSendAttemptThatIsCancelledBeforeSend) {
-    beforeSend = [this](AttemptId id) { runner->cancel(id); };
+    onNewConnection = [this](AttemptId id) { runner->cancel(id); };
     start();
     tcp::socket peer = accept();
     EXPECT_TRUE(isClosedWithoutBytes(peer));
