--- a/src/net/upstream/attempt_runner.cpp
+++ b/src/net/upstream/attempt_runner.cpp
@@ -52,12 +52,12 @@
 
 // Closes an idle connection if the limit is reached. Returns whether a new connection may be opened.
 bool AttemptRunner::makeRoomForConnection() {
-    return *openConnections_ < limits_.maxConnections || idleConnections_.evictOldest();
+    return *connectionCount_ < limits_.maxConnections || idleConnections_.evictLongestIdle();
 }
 
 void AttemptRunner::connect(Attempt& attempt, AttemptId id, Duration timeout) {
     attempt.connection = std::make_shared<UpstreamConnection>(
-        ioContext_, static_cast<UpstreamConnectionObserver&>(*this), timers_, openConnections_);
+        ioContext_, static_cast<UpstreamConnectionObserver&>(*this), timers_, connectionCount_);
     attempt.connection->assign(id);
     const bool hasConnectTimeout = limits_.connectTimeout > Duration::zero();
     attempt.connection->connect(attempt.endpoint->address(), timers_,
--- a/src/net/upstream/attempt_runner.h
+++ b/src/net/upstream/attempt_runner.h
@@ -94,7 +94,7 @@
     Limits limits_;
     Hooks hooks_;
     std::unordered_map<AttemptId, Attempt> attempts_;  // in flight
-    std::shared_ptr<std::size_t> openConnections_ = std::make_shared<std::size_t>(0);
+    std::shared_ptr<std::size_t> connectionCount_ = std::make_shared<std::size_t>(0);
 };
 
 }  // namespace gateway::net
--- a/src/net/upstream/idle_connection_pool.cpp
+++ b/src/net/upstream/idle_connection_pool.cpp
@@ -32,9 +32,9 @@
     IdleConnections& candidates = found->second;
     const SteadyTimePoint now = steady_clock::now();
     // Skips the connections that are within the reuse delay: the most recently used, at the back.
-    const SteadyTimePoint cooldownStart = now - limits_.reuseDelay;
+    const SteadyTimePoint latestReusable = now - limits_.reuseDelay;
     auto end = candidates.end();
-    while (end != candidates.begin() && std::prev(end)->idleSince > cooldownStart) --end;
+    while (end != candidates.begin() && std::prev(end)->idleSince > latestReusable) --end;
     while (end != candidates.begin()) {
         --end;
         const IdleConnection idle = std::move(*end);
@@ -59,7 +59,7 @@
     connections_.erase(found);
 }
 
-bool IdleConnectionPool::evictOldest() {
+bool IdleConnectionPool::evictLongestIdle() {
     IdleConnections* oldest = nullptr;
     for (auto& [endpoint, candidates] : connections_) {
         if (candidates.empty()) continue;
--- a/src/net/upstream/idle_connection_pool.h
+++ b/src/net/upstream/idle_connection_pool.h
@@ -47,7 +47,7 @@
 
     // Closes the connection, among those to all endpoints, that has been idle longest. Returns false if the
     // pool is empty.
-    bool evictOldest();
+    bool evictLongestIdle();
 
 private:
     struct IdleConnection {
--- a/src/net/upstream/upstream_client.cpp
+++ b/src/net/upstream/upstream_client.cpp
@@ -39,7 +39,7 @@
 }
 
 bool UpstreamClient::evictIdleConnection() {
-    return idleConnections_.evictOldest();
+    return idleConnections_.evictLongestIdle();
 }
 
 }  // namespace gateway::net
--- a/src/net/upstream/upstream_connection.cpp
+++ b/src/net/upstream/upstream_connection.cpp
@@ -17,7 +17,7 @@
 
 constexpr int kMaxInterimResponses = 8;  // 1xx responses before a final one
 // Counted from the first bytes of a response. Ends responses that never complete.
-constexpr Duration kMaxResponseTime = std::chrono::milliseconds(200);
+constexpr Duration kMaxResponseReceiveTime = std::chrono::milliseconds(200);
 constexpr std::size_t kTypicalHeaderBytes = 320;
 
 bool isInterim(const HttpResponse& message) {
@@ -28,16 +28,16 @@
 
 UpstreamConnection::UpstreamConnection(boost::asio::io_context& ioContext,
                                        UpstreamConnectionObserver& observer, TimerQueue& timers,
-                                       std::shared_ptr<std::size_t> openConnections)
+                                       std::shared_ptr<std::size_t> connectionCount)
     : TcpConnection(ioContext),
       observer_(observer),
       timers_(timers),
-      openConnections_(std::move(openConnections)) {
-    ++*openConnections_;
+      connectionCount_(std::move(connectionCount)) {
+    ++*connectionCount_;
 }
 
 UpstreamConnection::~UpstreamConnection() {
-    --*openConnections_;
+    --*connectionCount_;
 }
 
 void UpstreamConnection::assign(AttemptId attempt) {
@@ -82,7 +82,7 @@
     while (progress == ParseProgress::interim && input().size() > 0) progress = parseInput();
     switch (progress) {
         case ParseProgress::incomplete:
-            limitResponseTime();
+            limitReceiveTime();
             break;
         case ParseProgress::interim:  // the next response has not begun, so it has no limit yet
             break;
@@ -113,10 +113,10 @@
     return ParseProgress::interim;
 }
 
-void UpstreamConnection::limitResponseTime() {
+void UpstreamConnection::limitReceiveTime() {
     if (timeLimitedResponseNumber_ == responseNumber_) return;
     timeLimitedResponseNumber_ = responseNumber_;
-    timers_.schedule(kMaxResponseTime, [weak = weak_from_this(), number = responseNumber_] {
+    timers_.schedule(kMaxResponseReceiveTime, [weak = weak_from_this(), number = responseNumber_] {
         const auto connection = std::static_pointer_cast<UpstreamConnection>(weak.lock());
         if (connection && connection->isOpen() && connection->responseNumber_ == number)
             connection->closeAsBroken();
--- a/src/net/upstream/upstream_connection.h
+++ b/src/net/upstream/upstream_connection.h
@@ -42,10 +42,10 @@
 
 class UpstreamConnection final : public TcpConnection {
 public:
-    // `observer` and `timers` must outlive the connection while it is open. `openConnections` counts the
+    // `observer` and `timers` must outlive the connection while it is open. `connectionCount` counts the
     // objects of this class: the constructor increments it and the destructor decrements it.
     UpstreamConnection(boost::asio::io_context& ioContext, UpstreamConnectionObserver& observer,
-                       TimerQueue& timers, std::shared_ptr<std::size_t> openConnections);
+                       TimerQueue& timers, std::shared_ptr<std::size_t> connectionCount);
     ~UpstreamConnection() override;
     UpstreamConnection(const UpstreamConnection&) = delete;
     UpstreamConnection& operator=(const UpstreamConnection&) = delete;
@@ -76,7 +76,7 @@
 
     void expectResponse();
     ParseProgress parseInput();
-    void limitResponseTime();
+    void limitReceiveTime();
     void finishResponse();
     void closeAsBroken();
     std::shared_ptr<UpstreamConnection> self() {
@@ -85,7 +85,7 @@
 
     UpstreamConnectionObserver& observer_;
     TimerQueue& timers_;
-    std::shared_ptr<std::size_t> openConnections_;  // shared, as pending handlers can outlive the runner
+    std::shared_ptr<std::size_t> connectionCount_;  // shared, as pending handlers can outlive the runner
     AttemptId attempt_ = AttemptId::none;
     std::uint64_t bytesWrittenBefore_ = 0;         // bytesWritten() at the start of the attempt's request
     std::uint64_t responseNumber_ = 0;             // of the current response
--- a/tests/net/upstream/idle_connection_pool_test.cpp
+++ b/tests/net/upstream/idle_connection_pool_test.cpp
@@ -28,7 +28,7 @@
     };
 
     static constexpr Duration kKeepAlive = seconds(60);
-    static constexpr Duration kCooldown = seconds(1);
+    static constexpr Duration kIdleTime = seconds(1);
 
     void makePool(Duration keepAlive, Duration reuseDelay) {
         IdleConnectionPool::Limits limits;
@@ -39,7 +39,7 @@
 
     // Opens a connection to the loopback listener, and appends the endpoint's socket to `peers`.
     ConnectionPtr connect() {
-        auto connection = std::make_shared<UpstreamConnection>(ioContext, observer, timers, openConnections);
+        auto connection = std::make_shared<UpstreamConnection>(ioContext, observer, timers, connectionCount);
         connection->connect(address(), timers, seconds(20));
         peers.push_back(accept());
         runUntil([&] { return connection->isOpen(); });
@@ -55,14 +55,14 @@
     const UpstreamEndpoint endpoint{EndpointId{"a"}};
     const UpstreamEndpoint otherEndpoint{EndpointId{"b"}};
     Observer observer;
-    std::shared_ptr<std::size_t> openConnections = std::make_shared<std::size_t>(0);
+    std::shared_ptr<std::size_t> connectionCount = std::make_shared<std::size_t>(0);
     std::optional<IdleConnectionPool> pool;
     std::vector<tcp::socket> peers;
 };
 
 TEST_F(IdleConnectionPoolTest, ReturnsNothingForEndpointWithoutConnections) {
     makePool(kKeepAlive, Duration::zero());
-    addIdleFor(kCooldown, otherEndpoint);
+    addIdleFor(kIdleTime, otherEndpoint);
     EXPECT_EQ(pool->take(endpoint), nullptr);
 }
 
@@ -77,18 +77,18 @@
     EXPECT_TRUE(older->isOpen());
 }
 
-TEST_F(IdleConnectionPoolTest, SkipsConnectionInCooldown) {
+TEST_F(IdleConnectionPoolTest, SkipsConnectionWithinReuseDelay) {
     makePool(kKeepAlive, seconds(10));
     const ConnectionPtr ready = addIdleFor(seconds(15), endpoint);
-    const ConnectionPtr coolingDown = addIdleFor(Duration::zero(), endpoint);
+    const ConnectionPtr withinReuseDelay = addIdleFor(Duration::zero(), endpoint);
     EXPECT_EQ(pool->take(endpoint), ready);
     EXPECT_EQ(pool->take(endpoint), nullptr);
-    EXPECT_TRUE(coolingDown->isOpen());
+    EXPECT_TRUE(withinReuseDelay->isOpen());
 }
 
 TEST_F(IdleConnectionPoolTest, ClosesConnectionThatReceivedBytes) {
     makePool(kKeepAlive, Duration::zero());
-    const ConnectionPtr connection = addIdleFor(kCooldown, endpoint);
+    const ConnectionPtr connection = addIdleFor(kIdleTime, endpoint);
     write(peers[0], "x");
     while (!connection->hasInput()) {
     }
@@ -99,7 +99,7 @@
 TEST_F(IdleConnectionPoolTest, ClosesConnectionThatEndpointHasClosed) {
     makePool(kKeepAlive, Duration::zero());
     const ConnectionPtr usable = addIdleFor(seconds(2), endpoint);
-    const ConnectionPtr closed = addIdleFor(kCooldown, endpoint);
+    const ConnectionPtr closed = addIdleFor(kIdleTime, endpoint);
     peers[1].close();
     while (!closed->hasPeerClosed()) {
     }
@@ -127,19 +127,19 @@
     const ConnectionPtr second = addIdleFor(seconds(4), endpoint);
     const ConnectionPtr third = addIdleFor(seconds(3), endpoint);
     const ConnectionPtr first = addIdleFor(seconds(5), otherEndpoint);
-    EXPECT_TRUE(pool->evictOldest());
+    EXPECT_TRUE(pool->evictLongestIdle());
     EXPECT_FALSE(first->isOpen());
-    EXPECT_TRUE(pool->evictOldest());
+    EXPECT_TRUE(pool->evictLongestIdle());
     EXPECT_FALSE(second->isOpen());
     EXPECT_TRUE(third->isOpen());
     EXPECT_EQ(pool->take(endpoint), third);
-    EXPECT_FALSE(pool->evictOldest());
+    EXPECT_FALSE(pool->evictLongestIdle());
 }
 
 TEST_F(IdleConnectionPoolTest, ClosesAllConnectionsOfOneEndpoint) {
     makePool(kKeepAlive, Duration::zero());
-    const ConnectionPtr closed = addIdleFor(kCooldown, endpoint);
-    const ConnectionPtr kept = addIdleFor(kCooldown, otherEndpoint);
+    const ConnectionPtr closed = addIdleFor(kIdleTime, endpoint);
+    const ConnectionPtr kept = addIdleFor(kIdleTime, otherEndpoint);
     pool->closeAll(endpoint);
     EXPECT_FALSE(closed->isOpen());
     EXPECT_EQ(pool->take(endpoint), nullptr);
@@ -149,7 +149,7 @@
 TEST_F(IdleConnectionPoolTest, RemovesConnectionThatItCloses) {
     makePool(kKeepAlive, Duration::zero());
     const ConnectionPtr kept = addIdleFor(seconds(2), endpoint);
-    const ConnectionPtr closed = addIdleFor(kCooldown, endpoint);
+    const ConnectionPtr closed = addIdleFor(kIdleTime, endpoint);
     pool->close(closed);
     EXPECT_FALSE(closed->isOpen());
     EXPECT_EQ(pool->take(endpoint), kept);
@@ -158,10 +158,10 @@
 TEST_F(IdleConnectionPoolTest, CountsConnectionAsOpenUntilItIsDestroyed) {
     makePool(kKeepAlive, Duration::zero());
     ConnectionPtr connection = connect();
-    EXPECT_EQ(*openConnections, 1U);
+    EXPECT_EQ(*connectionCount, 1U);
     connection->close();
     connection.reset();
-    runUntil([&] { return *openConnections == 0U; });
+    runUntil([&] { return *connectionCount == 0U; });
 }
 
 }  // namespace
