--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -41,9 +41,10 @@
       engine_(config.settings, config.seed),
       dispatcher_(dispatcherHandlers()),
       readiness_(timers_, readinessLimits(config)),
-      upstreams_(ioContext, timers_, upstreamPoolLimits(config, [this] { return reclaimDescriptor(); }),
-                 upstreamHooks()),
-      clients_(ioContext, timers_, clock_, requestRules(config), clientServerLimits(config), clientHooks()),
+      upstreamClient_(ioContext, timers_,
+                      upstreamClientLimits(config, [this] { return reclaimDescriptor(); }), upstreamHooks()),
+      clientServer_(ioContext, timers_, clock_, requestRules(config), clientServerLimits(config),
+                    clientHooks()),
       discovery_(ioContext, timers_, clock_,
                  discoveryClientOptions(config, [this] { return reclaimDescriptor(); }),
                  [this](const EndpointList& list) {
@@ -58,8 +59,8 @@
 
 // ---- Hooks ----------------------------------------------------------------------------------------
 
-EventLoopDispatcher::Handlers GatewayServer::dispatcherHandlers() {
-    EventLoopDispatcher::Handlers handlers;
+EventDispatcher::Handlers GatewayServer::dispatcherHandlers() {
+    EventDispatcher::Handlers handlers;
     handlers.handleEvent = [this](const Event& event, Actions& actions) {
         engine_.handle(clock_.now(), event, actions);
     };
@@ -72,7 +73,7 @@
     return handlers;
 }
 
-UpstreamPool::Hooks GatewayServer::upstreamHooks() {
+UpstreamClient::Hooks GatewayServer::upstreamHooks() {
     return {
         [this](AttemptId id, AttemptResult&& result) { handleAttemptEnded(id, std::move(result)); },
         [this](AttemptId id) {
@@ -97,8 +98,8 @@
 
 GracefulShutdown::Hooks GatewayServer::shutdownHooks() {
     return {
-        [this](std::function<void()> onDrained) { clients_.drain(std::move(onDrained)); },
-        [this] { return isReconciled(); },
+        [this](std::function<void()> onDrained) { clientServer_.drain(std::move(onDrained)); },
+        [this] { return hasNoPendingUsage(); },
         [this] { discovery_.stop(); },
     };
 }
@@ -109,7 +110,7 @@
     handleEndpointList(config_.cachedEndpoints, UpdateKind::cached);
     readiness_.start(config_.settings.discovery == DiscoveryMode::push);
     discovery_.start();
-    clients_.listen(config_.listen);
+    clientServer_.listen(config_.listen);
 }
 
 void GatewayServer::reload(const Config& config) {
@@ -117,23 +118,25 @@
     if (counter_ && config.counter) counter_->changeAddress(*config.counter);
 }
 
-void GatewayServer::drain(std::function<void()> onComplete) {
+void GatewayServer::shutDown(std::function<void()> onComplete) {
     shutdown_.start(std::move(onComplete));
 }
 
-// Usage that the engine has not sent to the counter service yet is sent when a timer of the engine fires.
-bool GatewayServer::isReconciled() const {
-    return !dispatcher_.isDispatching() && engineTimersInFlight_ == 0 && (!counter_ || counter_->isIdle());
+// Returns whether no event is being handled, no timer of the engine is pending and no call to the counter
+// service is in flight. Usage that the engine has collected is sent when one of its timers fires.
+bool GatewayServer::hasNoPendingUsage() const {
+    return !dispatcher_.isDispatching() && pendingEngineTimers_ == 0 && (!counter_ || counter_->isIdle());
 }
 
 // ---- Descriptors ----------------------------------------------------------------------------------
 
-// Connections that the process needs have priority over idle connections, which may hold all descriptors.
+// A new connection has priority over an idle one. Idle connections may hold all descriptors that the process
+// can open.
 bool GatewayServer::reclaimDescriptor() {
-    return clients_.evictIdleClient() || upstreams_.evictIdleConnection();
+    return clientServer_.evictIdleClient() || upstreamClient_.evictIdleConnection();
 }
 
-void GatewayServer::ensureFreeDescriptor() {
+void GatewayServer::tryToFreeDescriptor() {
     tcp::socket probe(ioContext_);
     error_code ec;
     probe.open(tcp::v4(), ec);
@@ -144,7 +147,7 @@
 
 void GatewayServer::handleEndpointList(const EndpointList& list, UpdateKind kind) {
     readiness_.recordEndpointList(kind, list.endpoints.empty());
-    upstreams_.update(list);
+    upstreamClient_.update(list);
     EndpointUpdate update;
     update.kind = kind;
     for (const ResolvedEndpoint& endpoint : list.endpoints) update.entries.push_back(endpoint.entry);
@@ -163,16 +166,16 @@
     dispatcher_.dispatch(ClientDisconnected{id});
     // No client waits for the result of an attempt that has not been sent yet, so it is cancelled even if the
     // settings forbid cancellation.
-    for (const AttemptId attempt : attempts) upstreams_.cancelUnsent(attempt);
+    for (const AttemptId attempt : attempts) upstreamClient_.cancelUnsent(attempt);
     // Frees the request's id. If an attempt is in flight, its end frees the id instead.
     requests_.removeIfComplete(id);
 }
 
 void GatewayServer::handleAttemptEnded(AttemptId id, AttemptResult&& result) {
-    const std::optional<RequestRegistry::EndedAttempt> attempt = requests_.endAttempt(id);
+    const std::optional<RequestRegistry::EndedAttempt> attempt = requests_.recordAttemptEnded(id);
     if (!attempt) return;
-    // The first complete response is forwarded to the client at once. Responses that arrive after the client
-    // was answered or has disconnected are dropped.
+    // The first response with status 200 is forwarded to the client at once. Responses that arrive after the
+    // client was answered or has disconnected are dropped.
     const bool isServed = result.outcome == Outcome::ok && attempt->isClientWaiting;
     if (isServed)
         answer(attempt->request, {http::status::ok, Duration::zero(), result.contentType, result.body});
@@ -184,19 +187,20 @@
 // ---- Actions --------------------------------------------------------------------------------------
 
 void GatewayServer::execute(const SendAttempt& action) {
-    const auto attempt = requests_.startAttempt(action.request, action.endpoint);
+    const auto attempt = requests_.addAttempt(action.request, action.endpoint);
     if (!attempt) return;
     disconnectIfClosed(attempt->client);
     if (!hasWaitingClient(action.request)) {
         handleAttemptEnded(attempt->id, notSentResult());
         return;
     }
-    upstreams_.start(attempt->id, action.endpoint, {action.timeout, action.maxSendDelay}, attempt->forwarded);
+    upstreamClient_.start(attempt->id, action.endpoint, {action.timeout, action.maxSendDelay},
+                          attempt->forwarded);
 }
 
 void GatewayServer::execute(const CancelAttempt& action) {
     const AttemptId id = requests_.attempt(action.request, action.attempt);
-    if (id != AttemptId::none) upstreams_.cancel(id);
+    if (id != AttemptId::none) upstreamClient_.cancel(id);
 }
 
 void GatewayServer::execute(const RejectRequest& action) {
@@ -212,9 +216,9 @@
 }
 
 void GatewayServer::execute(const SetTimer& action) {
-    ++engineTimersInFlight_;
+    ++pendingEngineTimers_;
     timers_.schedule(action.delay, [this, timer = action.timer] {
-        --engineTimersInFlight_;
+        --pendingEngineTimers_;
         dispatcher_.dispatch(TimerFired{timer});
     });
 }
@@ -228,7 +232,7 @@
 }
 
 void GatewayServer::answer(const RequestId& id, const ClientResponse& response) {
-    if (const auto client = requests_.releaseClient(id)) clients_.answer(*client, response);
+    if (const auto client = requests_.releaseClient(id)) clientServer_.answer(*client, response);
     requests_.removeIfComplete(id);
 }
 
--- a/src/net/server/gateway_server.h
+++ b/src/net/server/gateway_server.h
@@ -13,13 +13,13 @@
 #include "net/config/config.h"
 #include "net/counter/counter_client.h"
 #include "net/discovery/discovery_client.h"
-#include "net/server/event_loop_dispatcher.h"
+#include "net/server/event_dispatcher.h"
 #include "net/server/graceful_shutdown.h"
 #include "net/server/readiness.h"
 #include "net/server/request_registry.h"
 #include "net/transport/clock.h"
 #include "net/transport/timer_queue.h"
-#include "net/upstream/upstream_pool.h"
+#include "net/upstream/upstream_client.h"
 
 namespace gateway::net {
 
@@ -38,23 +38,24 @@
     // if listening on the configured address fails.
     void start();
 
-    // Makes sure that one file descriptor is free, for example to open a file. Closes an idle connection if
-    // none is free.
-    void ensureFreeDescriptor();
+    // If no file descriptor is free, closes an idle connection, if there is one. Called before a file is
+    // opened.
+    void tryToFreeDescriptor();
 
-    // Changes the addresses of discovery and of the counter service to those in `config`. Ignores all other
-    // changes in `config`.
+    // Changes the addresses of discovery and of the counter service to those in `config`. The counter's
+    // address changes only if both the initial configuration and `config` have one. Ignores all other changes
+    // in `config`.
     void reload(const Config& config);
 
     // Shuts down gracefully, then calls `onComplete`: see GracefulShutdown. Must be called only once.
-    void drain(std::function<void()> onComplete);
+    void shutDown(std::function<void()> onComplete);
 
     // The address that clients connect to. Precondition: start() has returned.
-    tcp::endpoint address() const { return clients_.address(); }
+    tcp::endpoint address() const { return clientServer_.address(); }
 
 private:
-    EventLoopDispatcher::Handlers dispatcherHandlers();
-    UpstreamPool::Hooks upstreamHooks();
+    EventDispatcher::Handlers dispatcherHandlers();
+    UpstreamClient::Hooks upstreamHooks();
     ClientServer::Hooks clientHooks();
     GracefulShutdown::Hooks shutdownHooks();
 
@@ -69,13 +70,13 @@
     void execute(const FailRequest& action);
     void execute(const AddToCounter& action);
     void execute(const SetTimer& action);
-    void execute(const WatchEndpoints&) {}  // start() has started to watch discovery
+    void execute(const WatchEndpoints&) {}  // start() starts the watch, whether or not the engine requests it
 
     static void disconnectIfClosed(const std::shared_ptr<ClientSession>& client);
     bool hasWaitingClient(const RequestId& id) const { return requests_.client(id) != nullptr; }
     void answer(const RequestId& id, const ClientResponse& response);
     bool reclaimDescriptor();
-    bool isReconciled() const;
+    bool hasNoPendingUsage() const;
 
     boost::asio::io_context& ioContext_;
     const Config& config_;
@@ -83,14 +84,14 @@
     TimerQueue timers_;
     DecisionEngine engine_;
     RequestRegistry requests_;
-    EventLoopDispatcher dispatcher_;
+    EventDispatcher dispatcher_;
     Readiness readiness_;
-    UpstreamPool upstreams_;
+    UpstreamClient upstreamClient_;
     std::optional<CounterClient> counter_;  // absent if none is configured
-    ClientServer clients_;
+    ClientServer clientServer_;
     DiscoveryClient discovery_;
     GracefulShutdown shutdown_;
-    std::size_t engineTimersInFlight_ = 0;  // set by the engine, not fired yet
+    std::size_t pendingEngineTimers_ = 0;  // set by the engine, not fired yet
 };
 
 }  // namespace gateway::net
--- a/src/net/server/graceful_shutdown.h
+++ b/src/net/server/graceful_shutdown.h
@@ -8,15 +8,16 @@
 
 namespace gateway::net {
 
-// Drains the clients, then waits for at most 1 s until reconciliations and refunds have been sent to the
-// counter service, then stops discovery and reports completion.
+// Drains the clients, then waits for at most 1 s until no usage is pending, then stops discovery and reports
+// completion.
 class GracefulShutdown {
 public:
     struct Hooks {
         // Answers the accepted requests, and calls its argument when no client is connected any more.
         std::function<void(std::function<void()>)> drainClients;
-        // Returns whether all usage has been reported to the counter service.
-        std::function<bool()> isReconciled;
+        // Returns whether no usage is waiting to be sent to the counter service and no call to the counter
+        // service is in flight.
+        std::function<bool()> hasNoPendingUsage;
         std::function<void()> stopDiscovery;
     };
 
@@ -27,12 +28,12 @@
     void start(std::function<void()> onComplete);
 
 private:
-    void completeWhenReconciled();
+    void completeWhenNoUsageIsPending();
 
     TimerQueue& timers_;
     Hooks hooks_;
     std::function<void()> onComplete_;
-    SteadyTimePoint reconcileDeadline_{};
+    SteadyTimePoint pendingUsageDeadline_{};
 };
 
 }  // namespace gateway::net
--- a/src/net/upstream/attempt_runner.cpp
+++ b/src/net/upstream/attempt_runner.cpp
@@ -38,7 +38,7 @@
         send(attempt);
         return;
     }
-    if (!hasConnectionCapacity()) {  // the endpoint is not at fault
+    if (!makeRoomForConnection()) {  // the endpoint is not at fault
         finish(id, Outcome::notSent);
         return;
     }
@@ -50,14 +50,14 @@
            attempt.endpoint->acceptsAttempts(steady_clock::now(), limits_.drainGracePeriod);
 }
 
-// Returns whether a connection may be opened. Closes an idle connection if the limit is reached.
-bool AttemptRunner::hasConnectionCapacity() {
-    return *openConnections_ < limits_.maxConnections || idleConnections_.evictOldest();
+// Closes an idle connection if the limit is reached. Returns whether a new connection may be opened.
+bool AttemptRunner::makeRoomForConnection() {
+    return *connectionCount_ < limits_.maxConnections || idleConnections_.evictLongestIdle();
 }
 
 void AttemptRunner::connect(Attempt& attempt, AttemptId id, Duration timeout) {
     attempt.connection = std::make_shared<UpstreamConnection>(
-        ioContext_, static_cast<UpstreamConnectionObserver&>(*this), timers_, openConnections_);
+        ioContext_, static_cast<UpstreamConnectionObserver&>(*this), timers_, connectionCount_);
     attempt.connection->assign(id);
     const bool hasConnectTimeout = limits_.connectTimeout > Duration::zero();
     attempt.connection->connect(attempt.endpoint->address(), timers_,
@@ -66,8 +66,8 @@
 }
 
 void AttemptRunner::onConnected(AttemptId id) {
-    hooks_.beforeSend(id);
-    if (!hooks_.shouldSend(id)) {
+    hooks_.onNewConnection(id);
+    if (!hooks_.shouldSendOnNewConnection(id)) {
         cancel(id);
         return;
     }
@@ -112,9 +112,9 @@
     } else if (connection->isRequestWritten()) {
         finish(id, Outcome::reset);  // the endpoint may have run the request
     } else {
-        // Neither the loss of a connection that had been idle nor a lack of file descriptors in this process
+        // Neither the loss of a connection that had been idle nor a failure to open a socket in this process
         // says anything about the endpoint's health.
-        const bool isEndpointAtFault = !connection->isReused() && !connection->isOutOfDescriptors();
+        const bool isEndpointAtFault = !connection->isReused() && !connection->hasFailedToOpenSocket();
         finish(id, isEndpointAtFault ? Outcome::connectFailed : Outcome::notSent);
     }
 }
--- a/src/net/upstream/attempt_runner.h
+++ b/src/net/upstream/attempt_runner.h
@@ -26,16 +26,17 @@
         std::size_t maxConnections = 256;       // over all endpoints, including idle connections
         Duration connectTimeout{};              // 0: only the attempt's timeout applies
         Duration drainGracePeriod{};            // during which attempts are sent to a draining endpoint
-        ReclaimDescriptor reclaimDescriptor{};  // called if the process has no file descriptor left
+        ReclaimDescriptor reclaimDescriptor{};  // called if no socket can be opened
     };
     struct Hooks {
         // Called once for each attempt when it ends, possibly before start() returns.
         std::function<void(AttemptId, AttemptResult&&)> onEnded;
         // Called when a new connection is established, before the attempt is written to it. May cancel the
         // attempt.
-        std::function<void(AttemptId)> beforeSend;
-        // Returns whether to send the attempt, after beforeSend. If false, it ends as Outcome::notSent.
-        std::function<bool(AttemptId)> shouldSend;
+        std::function<void(AttemptId)> onNewConnection;
+        // Returns whether to send the attempt. If false, it ends as Outcome::notSent. Called after
+        // onNewConnection. Not called for an attempt on an idle connection.
+        std::function<bool(AttemptId)> shouldSendOnNewConnection;
     };
     struct Options {
         Duration timeout{};       // for the complete response
@@ -80,7 +81,7 @@
     void onUnexpectedInput(const ConnectionPtr& connection) override;
 
     bool canStart(const Attempt& attempt) const;
-    bool hasConnectionCapacity();
+    bool makeRoomForConnection();
     void connect(Attempt& attempt, AttemptId id, Duration timeout);
     static void send(const Attempt& attempt);
     void expire(AttemptId id);
@@ -93,7 +94,7 @@
     Limits limits_;
     Hooks hooks_;
     std::unordered_map<AttemptId, Attempt> attempts_;  // in flight
-    std::shared_ptr<std::size_t> openConnections_ = std::make_shared<std::size_t>(0);
+    std::shared_ptr<std::size_t> connectionCount_ = std::make_shared<std::size_t>(0);
 };
 
 }  // namespace gateway::net
